--- a/src/core/intake/create-intake.ts
+++ b/src/core/intake/create-intake.ts
@@ -1,23 +1,23 @@
 import type { Clock } from '../clock';
 import type { Logger } from '../events';
 import type { RandomSource } from '../random';
-import { createCrowdWatch } from './crowd-watch';
+import { createBurstWatch } from './crowd-watch';
 import { INTAKE_EVENTS } from './events';
 import { createIntakeQueue } from './intake-queue';
 import type { LoopWatch } from './loop-watch';
 import type { Turns, WaitingRequest } from './types';
 
-/** Takes requests that have been read, and has them served as fast as this process can. */
+/** Receives requests that have been read, and has them served as fast as this process can. */
 export interface Intake {
-  /** Serves a request at once, or lets it wait where the process is behind. */
+  /** Serves a request immediately, or queues it if the process is behind. */
   enter(request: WaitingRequest): void;
-  /** Notes that a connection was accepted in the turn under way. */
-  noteConnection(): void;
-  /** Requests that wait. */
+  /** Records that a connection was accepted in the current turn. */
+  recordConnection(): void;
+  /** Number of waiting requests. */
   size(): number;
 }
 
-/** What an intake is made from. */
+/** Options of `createIntake`. */
 export interface IntakeOptions {
   readonly clock: Pick<Clock, 'monotonicMs'>;
   readonly turns: Turns;
@@ -27,96 +27,109 @@
 }
 
 /**
- * Time for which waiting requests are served before the loop looks for what else has come, ms. With much more, answers
- * that pass through stand still meanwhile; with much less, looking costs as much as serving.
+ * Duration of a slice: the time for which waiting requests are served before the event loop polls
+ * again, ms. If it is much longer, answers in progress stall meanwhile; if it is much shorter,
+ * polling costs as much as serving.
  */
 const SLICE_MS = 20;
 /**
- * Longest time for which connections are accepted and read, one a turn, before the next slice, ms. Some dozens are
- * accepted in it on an eighth of a processor; requests that have been read wait no longer than a usual pause for it.
+ * Maximum time for which connections are accepted and read, one per turn, before the next slice,
+ * ms. Some dozens are accepted in it on an eighth of a processor, and requests that have been read
+ * wait no longer for it than for a usual pause of the process.
  */
-const ACCEPT_MS = 60;
-/** Cost of a request until one has been measured, ms of wall time. */
-const FIRST_COST_MS = 5;
-/** Weight of the newest slice in the cost of a request; a handful of slices decide. */
-const NEWEST_WEIGHT = 0.3;
-/** Bounds of the time after which refused callers come back, ms: at once only adds to the backlog, and they follow no
- * more than a third of the time that they have, which is a few seconds. */
-const SHORTEST_RETURN_MS = 200;
-const LONGEST_RETURN_MS = 2_000;
+const MAX_ACCEPT_MS = 60;
+/** Initial estimate of the cost of a request, ms of wall time. */
+const INITIAL_COST_MS = 5;
+/** Weight of the latest slice in the estimated cost of a request: the last handful decide it. */
+const LATEST_SAMPLE_WEIGHT = 0.3;
+/**
+ * Bounds of the retry delay of refused callers, ms. An immediate retry only adds to the backlog.
+ * Callers have a few seconds in all, and follow a delay up to a third of them.
+ */
+const MIN_RETRY_MS = 200;
+const MAX_RETRY_MS = 2_000;
 
-/** A backlog that is over sooner is no news, and two lines each would be many, ms. */
-const TOLD_AFTER_MS = 100;
+/** Minimum duration of a backlog that is logged, ms: two lines for each shorter one are too many. */
+const LOG_AFTER_MS = 100;
 
-/** What a backlog came to, for its last line. */
+/** Counts of a backlog for its last log line. */
 interface BacklogCounts {
   readonly sinceMs: number;
-  /** Whether its first line has been written. */
-  isTold: boolean;
+  /** Whether the start of the backlog has been logged. */
+  isLogged: boolean;
   served: number;
   refused: number;
   gone: number;
+  /** Maximum number of requests that waited at once. */
   most: number;
 }
 
 /**
- * An intake in which nobody waits.
+ * Creates an intake that queues requests while the event loop is late or connections come in bursts.
  *
- * While the loop is in time, requests pass straight through. Once it is late they wait here, where the process knows of
- * them: those whose callers leave are dropped, those that come too late are refused at once, and the rest are served in
- * short slices, between which the loop sees to all else (answers, closes, heartbeats, the end of a planned stop).
+ * While the event loop is in time, requests are served immediately. Once it is late, they wait
+ * here, where the process can see them: requests whose callers leave are dropped, those that would
+ * be too late are refused immediately, and the rest are served in short slices. Between slices the
+ * loop handles everything else (answers, closes, heartbeats, the end of a planned stop).
  *
- * The loop accepts one connection in each of its turns. Were each turn to serve a slice as well, a crowd of new
- * connections would wait unseen for as many slices, and be read when its callers have left: seen were requests read five
- * seconds late while no more than eight waited here. So as long as turns bring connections, nothing is served for a
- * while, and the crowd is here, where the newest go first.
+ * The loop accepts one connection per turn. If each turn served a slice as well, a burst of new
+ * connections would wait unaccepted for as many slices, and be read after its callers have left:
+ * requests were read five seconds late while no more than eight waited here. So as long as turns
+ * bring connections, nothing is served for a limited time; the burst is then in the queue, where
+ * the newest are served first.
  */
 export function createIntake(options: IntakeOptions): Intake {
   const { clock, turns, random, logger, watch } = options;
   const queue = createIntakeQueue();
   let backlog: BacklogCounts | undefined;
-  let costMs = FIRST_COST_MS;
-  let servedLast = 0;
-  let sliceAtMs = 0;
-  const crowd = createCrowdWatch(turns);
+  let costMs = INITIAL_COST_MS;
+  let servedInLastSlice = 0;
+  let sliceStartedAtMs = 0;
+  const burstWatch = createBurstWatch(turns);
 
-  const begin = (nowMs: number): BacklogCounts => {
-    servedLast = 0;
-    sliceAtMs = nowMs;
-    return { sinceMs: nowMs, isTold: false, served: 0, refused: 0, gone: 0, most: 0 };
+  const beginBacklog = (nowMs: number): BacklogCounts => {
+    servedInLastSlice = 0;
+    sliceStartedAtMs = nowMs;
+    return { sinceMs: nowMs, isLogged: false, served: 0, refused: 0, gone: 0, most: 0 };
   };
 
-  const end = ({ sinceMs, isTold, ...counts }: BacklogCounts): void => {
+  const endBacklog = ({ sinceMs, isLogged, ...counts }: BacklogCounts): void => {
     backlog = undefined;
-    if (!isTold) return;
+    if (!isLogged) return;
     const lastedMs = Math.round(clock.monotonicMs() - sinceMs);
     logger.event(INTAKE_EVENTS.ended, { lastedMs, ...counts });
   };
 
-  /** Notes how long the last slice took with all that came between it and this one. */
-  const measure = (nowMs: number): void => {
-    if (servedLast > 0) {
-      const sample = (nowMs - sliceAtMs) / servedLast;
-      costMs += (sample - costMs) * NEWEST_WEIGHT;
+  /**
+   * Updates the estimated cost of a request from the time since the last slice began, including all
+   * work between the slices.
+   */
+  const updateCost = (nowMs: number): void => {
+    if (servedInLastSlice > 0) {
+      const sample = (nowMs - sliceStartedAtMs) / servedInLastSlice;
+      costMs += (sample - costMs) * LATEST_SAMPLE_WEIGHT;
     }
-    sliceAtMs = nowMs;
+    sliceStartedAtMs = nowMs;
   };
 
   const dropGone = (): number => {
-    const gone = queue.takeGone();
+    const gone = queue.removeGone();
     for (const request of gone) request.drop();
     return gone.length;
   };
 
-  /** Callers that are refused come back spread over the time in which the backlog is worked off. */
-  const refuseHopeless = (nowMs: number): number => {
+  /**
+   * Refuses requests that would be served too late. Their retries are spread over the time in which
+   * the backlog is processed.
+   */
+  const refuseTooLate = (nowMs: number): number => {
     const spreadMs = Math.min(
-      LONGEST_RETURN_MS - SHORTEST_RETURN_MS,
-      Math.max(SHORTEST_RETURN_MS, queue.size() * costMs),
+      MAX_RETRY_MS - MIN_RETRY_MS,
+      Math.max(MIN_RETRY_MS, queue.size() * costMs),
     );
-    const hopeless = queue.takeHopeless(costMs, nowMs);
-    for (const request of hopeless) request.refuse(SHORTEST_RETURN_MS + random.next() * spreadMs);
-    return hopeless.length;
+    const tooLate = queue.removeTooLate(costMs, nowMs);
+    for (const request of tooLate) request.refuse(MIN_RETRY_MS + random.next() * spreadMs);
+    return tooLate.length;
   };
 
   const serveSlice = (nowMs: number): number => {
@@ -130,42 +143,42 @@
     return served;
   };
 
-  const work = (): void => {
+  const processBacklog = (): void => {
     if (backlog === undefined) return;
     const nowMs = clock.monotonicMs();
-    if (!backlog.isTold && nowMs - backlog.sinceMs >= TOLD_AFTER_MS) {
-      backlog.isTold = true;
+    if (!backlog.isLogged && nowMs - backlog.sinceMs >= LOG_AFTER_MS) {
+      backlog.isLogged = true;
       logger.event(INTAKE_EVENTS.began, { lagMs: Math.round(watch.lagMs()) });
     }
-    if (crowd.takeNew() && nowMs - sliceAtMs < ACCEPT_MS) {
+    if (burstWatch.consumeNewConnection() && nowMs - sliceStartedAtMs < MAX_ACCEPT_MS) {
       queue.endTurn();
-      turns.atEnd(work);
+      turns.atEnd(processBacklog);
       return;
     }
-    measure(nowMs);
+    updateCost(nowMs);
     backlog.most = Math.max(backlog.most, queue.size());
     backlog.gone += dropGone();
-    backlog.refused += refuseHopeless(nowMs);
-    servedLast = serveSlice(nowMs);
-    backlog.served += servedLast;
+    backlog.refused += refuseTooLate(nowMs);
+    servedInLastSlice = serveSlice(nowMs);
+    backlog.served += servedInLastSlice;
     queue.endTurn();
-    if (queue.size() > 0) turns.atEnd(work);
-    else end(backlog);
+    if (queue.size() > 0) turns.atEnd(processBacklog);
+    else endBacklog(backlog);
   };
 
   return {
     size: () => queue.size(),
-    noteConnection: crowd.noteConnection,
+    recordConnection: burstWatch.recordConnection,
     enter(request) {
       const nowMs = clock.monotonicMs();
-      if (backlog === undefined && !watch.isLate(nowMs) && !crowd.isCrowd()) {
+      if (backlog === undefined && !watch.isLate(nowMs) && !burstWatch.isBurst()) {
         request.serve();
         return;
       }
       queue.add(request);
       if (backlog !== undefined) return;
-      backlog = begin(nowMs);
-      turns.atEnd(work);
+      backlog = beginBacklog(nowMs);
+      turns.atEnd(processBacklog);
     },
   };
 }
--- a/src/core/intake/crowd-watch.ts
+++ b/src/core/intake/crowd-watch.ts
@@ -1,43 +1,50 @@
 import type { Turns } from './types';
 
-/** Knows whether more connections come than the event loop accepts. */
-export interface CrowdWatch {
-  /** Notes that a connection was accepted in the turn under way. */
-  noteConnection(): void;
-  /** Whether the turn before this one accepted a connection as well. */
-  isCrowd(): boolean;
-  /** Whether one was accepted since this was last asked. */
-  takeNew(): boolean;
+/** Detects whether more connections arrive than the event loop accepts. */
+export interface BurstWatch {
+  /** Records that a connection was accepted in the current turn. */
+  recordConnection(): void;
+  /**
+   * Whether connections were accepted in consecutive turns, and the latest of them since the last
+   * call of `consumeNewConnection`.
+   */
+  isBurst(): boolean;
+  /** Returns whether a connection was accepted since the last call of this method. */
+  consumeNewConnection(): boolean;
 }
 
 /**
- * A watch that has seen no connection.
+ * Creates a watch for bursts of new connections.
  *
- * The loop accepts one connection in each of its turns, so a crowd shows as connections in turn after turn, however short
- * the turns are, and not as a late loop: each turn handles little and ends in time, while hundreds wait to be accepted.
+ * The event loop accepts one connection per turn. So a burst shows as connections in consecutive
+ * turns, however short the turns are, and not as a late loop: each turn handles little and ends in
+ * time, while hundreds of connections wait to be accepted.
  */
-export function createCrowdWatch(turns: Turns): CrowdWatch {
-  let isNew = false;
-  let hadOneBefore = false;
-  /** Counts turns with connections, so that a later one is not undone by an earlier one's end. */
-  let latest = 0;
+export function createBurstWatch(turns: Turns): BurstWatch {
+  let hasNewConnection = false;
+  let hadConnectionInPreviousTurn = false;
+  /**
+   * Number of the latest connection, so that the end of an earlier connection's turn does not reset
+   * a later one.
+   */
+  let latestConnection = 0;
   return {
-    noteConnection() {
-      isNew = true;
-      latest += 1;
-      const own = latest;
+    recordConnection() {
+      hasNewConnection = true;
+      latestConnection += 1;
+      const thisConnection = latestConnection;
       turns.atEnd(() => {
-        hadOneBefore = true;
+        hadConnectionInPreviousTurn = true;
         turns.atEnd(() => {
-          if (own === latest) hadOneBefore = false;
+          if (thisConnection === latestConnection) hadConnectionInPreviousTurn = false;
         });
       });
     },
-    isCrowd: () => hadOneBefore && isNew,
-    takeNew() {
-      const wasNew = isNew;
-      isNew = false;
-      return wasNew;
+    isBurst: () => hadConnectionInPreviousTurn && hasNewConnection,
+    consumeNewConnection() {
+      const hadNewConnection = hasNewConnection;
+      hasNewConnection = false;
+      return hadNewConnection;
     },
   };
 }
--- a/src/core/intake/events.ts
+++ b/src/core/intake/events.ts
@@ -6,14 +6,14 @@
     id: 4401,
     name: 'backlog-began',
     level: 'warn',
-    text: 'More requests came than the process serves; they wait, and the newest go first.',
-    action: 'Nothing at once. Where it lasts for seconds, add instances or processor time.',
+    text: 'Requests arrive faster than the process serves them; they wait, and the newest are served first.',
+    action: 'Nothing immediately. If it lasts for seconds, add instances or processor time.',
   },
   ended: {
     id: 4402,
     name: 'backlog-ended',
     level: 'info',
     text: 'No request waits in the process any more.',
-    action: 'Look at how long it lasted and how many were refused.',
+    action: 'Check how long it lasted and how many requests were refused.',
   },
 } as const satisfies Record<string, EventDefinition>;
--- a/src/core/intake/index.ts
+++ b/src/core/intake/index.ts
@@ -1,4 +1,4 @@
-/** Requests that wait in the process itself, when it has more to do than it gets processor time for. */
+/** Queues requests in the process while it gets too little processor time to serve them all. */
 export { createIntake } from './create-intake';
 export type { Intake, IntakeOptions } from './create-intake';
 export { INTAKE_EVENTS } from './events';
--- a/src/core/intake/intake-queue.ts
+++ b/src/core/intake/intake-queue.ts
@@ -1,58 +1,60 @@
 import type { WaitingRequest } from './types';
 
-/** Requests that wait in the process, and the order in which they are served. */
+/** Queue of the requests that wait in the process. */
 export interface IntakeQueue {
   size(): number;
-  /** Adds one that was read in the turn under way. */
+  /** Adds a request that was read in the current turn. */
   add(request: WaitingRequest): void;
-  /** The next to be served; undefined where none may be yet. */
+  /** Removes and returns the next request to serve; undefined if none may be served yet. */
   next(): WaitingRequest | undefined;
-  /** Takes out those whose callers have left. */
-  takeGone(): readonly WaitingRequest[];
-  /** Takes out those that will not be served in time, where each takes `costMs`. */
-  takeHopeless(costMs: number, nowMs: number): readonly WaitingRequest[];
-  /** Ends the turn: what was read in it may be served in the next one. */
+  /** Removes and returns the requests whose callers have left. */
+  removeGone(): readonly WaitingRequest[];
+  /** Removes and returns the requests that cannot be served in time if each takes `costMs`. */
+  removeTooLate(costMs: number, nowMs: number): readonly WaitingRequest[];
+  /** Ends the turn: requests that were read in it may be served in the next one. */
   endTurn(): void;
 }
 
 /**
- * A queue in which nobody waits.
+ * Creates a queue that serves the newest request first.
  *
- * Answers callers who come faster than one process serves them, as after a loss of power. First come, first served
- * would give each of them an answer after the same long wait, at the end of which most have given up: the process is
- * busy all the time and serves nobody. One notices minutes of full load with no request in time. So the newest goes
- * first, which is in time, and the oldest are refused as soon as it shows that their turn comes too late.
+ * The queue is for callers that arrive faster than one process serves them, as after a power loss.
+ * First in, first out would answer each of them after the same long wait, at the end of which most
+ * have given up: the process would be fully loaded for minutes without a request in time. So the
+ * newest request is served first, which is in time, and the oldest are refused as soon as they are
+ * predicted to be served too late.
  *
- * What was read in this turn is not served in it: a caller that has left shows only when the loop looks again.
+ * Requests are not served in the turn in which they were read: the loop only detects that a caller
+ * has left when it polls again.
  */
 export function createIntakeQueue(): IntakeQueue {
-  let fresh: WaitingRequest[] = [];
+  let readThisTurn: WaitingRequest[] = [];
   /** Oldest first. */
   let waiting: WaitingRequest[] = [];
   return {
-    size: () => fresh.length + waiting.length,
+    size: () => readThisTurn.length + waiting.length,
     add(request) {
-      fresh.push(request);
+      readThisTurn.push(request);
     },
     next: () => waiting.pop(),
-    takeGone() {
+    removeGone() {
       const gone = waiting.filter((request) => request.isGone());
       if (gone.length > 0) waiting = waiting.filter((request) => !request.isGone());
       return gone;
     },
-    takeHopeless(costMs, nowMs) {
+    removeTooLate(costMs, nowMs) {
       const { length } = waiting;
-      const isHopeless = ({ answerByMs }: WaitingRequest, index: number) =>
-        nowMs + (length - 1 - index) * costMs >= answerByMs;
-      const hopeless = waiting.filter(isHopeless);
-      if (hopeless.length > 0) {
-        waiting = waiting.filter((request, index) => !isHopeless(request, index));
+      const isTooLate = ({ answerDeadlineMs }: WaitingRequest, index: number) =>
+        nowMs + (length - 1 - index) * costMs >= answerDeadlineMs;
+      const tooLate = waiting.filter(isTooLate);
+      if (tooLate.length > 0) {
+        waiting = waiting.filter((request, index) => !isTooLate(request, index));
       }
-      return hopeless;
+      return tooLate;
     },
     endTurn() {
-      waiting.push(...fresh);
-      fresh = [];
+      waiting.push(...readThisTurn);
+      readThisTurn = [];
     },
   };
 }
--- a/src/core/intake/intake.test.ts
+++ b/src/core/intake/intake.test.ts
@@ -4,13 +4,16 @@
 import { createSeededRandom } from '../random';
 import { INTAKE_EVENTS, createIntake, createLoopWatch } from '.';
 
-/** Requests that may be worked on after their callers have left; a close crosses what is sent. */
-const A_FEW = 3;
-/** What callers of the crowd are like, ms. */
+/**
+ * Maximum number of requests that may be served after their callers have left: a caller may close
+ * its connection just as its request is served.
+ */
+const MAX_WASTED_REQUESTS = 3;
+/** Properties of the callers in the burst, ms. */
 const OBJECTIVE_MS = 600;
-const PATIENCE_MS = 2_500;
+const CALLER_TIMEOUT_MS = 2_500;
 const DEADLINE_MS = 5_000;
-/** What one request costs a process that gets an eighth of a processor, ms. */
+/** Costs of one request for a process that gets an eighth of a processor, ms. */
 const ACCEPT_COST_MS = 2;
 const READ_COST_MS = 4;
 const SERVE_COST_MS = 50;
@@ -22,20 +25,25 @@
   refusedAtMs: number | undefined;
 }
 
-interface Day {
+interface SimulationResult {
   readonly callers: readonly Caller[];
-  readonly longestTurnMs: number;
+  readonly maxTurnMs: number;
   readonly events: readonly number[];
 }
 
-/** How a crowd comes: on connections that it has, or on new ones, of which each turn of the loop accepts one. */
+/** Connections of a burst: existing ones, or new ones, of which each turn of the loop accepts one. */
 type Connections = 'kept' | 'new';
 
 /** Whether requests go through the intake, or are served as they are read. */
-type Way = 'intake' | 'as read';
-
-/** Plays an event loop on a processor that is charged by hand. */
-function play(sentAtMs: readonly number[], seed: number, connections: Connections, way: Way): Day {
+type ServingMode = 'intake' | 'as read';
+
+/** Simulates an event loop on a processor whose time the test advances. */
+function simulate(
+  sentAtMs: readonly number[],
+  seed: number,
+  connections: Connections,
+  mode: ServingMode,
+): SimulationResult {
   let nowMs = 0;
   let ends: (() => void)[] = [];
   const logger = createMemoryLogger();
@@ -53,28 +61,28 @@
   });
   const unaccepted = [...callers];
   let unread: Caller[] = [];
-  /** When the loop last looked at its sockets; a close after it is not known yet. */
-  let lookedAtMs = 0;
+  /** Time at which the loop last polled its sockets; a later close is not known yet. */
+  let polledAtMs = 0;
   let dueAtMs = TICK_MS;
-  let longestTurnMs = 0;
+  let maxTurnMs = 0;
   const lastMs = Math.max(...sentAtMs) + DEADLINE_MS;
 
   const accept = (turnAtMs: number): void => {
-    const come = unaccepted.filter((caller) => caller.sentAtMs <= turnAtMs);
-    const accepted = connections === 'kept' ? come : come.slice(0, 1);
+    const arrived = unaccepted.filter((caller) => caller.sentAtMs <= turnAtMs);
+    const accepted = connections === 'kept' ? arrived : arrived.slice(0, 1);
     unaccepted.splice(0, accepted.length);
     unread.push(...accepted);
     if (connections === 'kept' || accepted.length === 0) return;
     nowMs += ACCEPT_COST_MS;
-    intake.noteConnection();
+    intake.recordConnection();
   };
 
   const read = (caller: Caller): void => {
     nowMs += READ_COST_MS;
     const receivedAtMs = nowMs - watch.waitedMs(nowMs);
     const request = {
-      answerByMs: receivedAtMs + DEADLINE_MS,
-      isGone: () => lookedAtMs >= caller.sentAtMs + PATIENCE_MS,
+      answerDeadlineMs: receivedAtMs + DEADLINE_MS,
+      isGone: () => polledAtMs >= caller.sentAtMs + CALLER_TIMEOUT_MS,
       drop() {},
       refuse() {
         Object.assign(caller, { refusedAtMs: nowMs });
@@ -84,7 +92,7 @@
         nowMs += SERVE_COST_MS;
       },
     };
-    if (way === 'intake') intake.enter(request);
+    if (mode === 'intake') intake.enter(request);
     else request.serve();
   };
 
@@ -94,8 +102,9 @@
       watch.noteTick(dueAtMs, nowMs + TICK_MS, nowMs);
       dueAtMs = nowMs + TICK_MS;
     }
-    lookedAtMs = nowMs;
-    // What is accepted in one turn is read in the next; what comes on a kept connection, in the one that finds it.
+    polledAtMs = nowMs;
+    // Requests on a connection that is accepted in one turn are read in the next; requests on an
+    // existing connection, in the turn that finds them.
     const found = unread;
     unread = [];
     accept(turnAtMs);
@@ -104,60 +113,73 @@
     const atEnd = ends;
     ends = [];
     for (const callback of atEnd) callback();
-    longestTurnMs = Math.max(longestTurnMs, nowMs - turnAtMs);
+    maxTurnMs = Math.max(maxTurnMs, nowMs - turnAtMs);
     if (nowMs === turnAtMs) nowMs += 1;
   }
   const events = logger.lines.map(({ definition }) => definition.id);
-  return { callers, longestTurnMs, events };
+  return { callers, maxTurnMs, events };
 }
 
-/** Callers that all come within a second, and then some a second for a while. */
-function crowd(seed: number): readonly number[] {
+/**
+ * Returns the arrival times of a burst within one second, and of some requests per second for a
+ * while after it.
+ */
+function burstArrivals(seed: number): readonly number[] {
   const random = createSeededRandom(seed);
   const returning = Array.from({ length: 150 }, () => 1_000 + random.next() * 1_000);
   const usual = Array.from({ length: 80 }, (_unused, index) => 2_000 + index * 100);
   return [...returning, ...usual].sort((left, right) => left - right);
 }
 
-const startedInTime = ({ callers }: Day) =>
+const startedInTime = ({ callers }: SimulationResult) =>
   callers.filter((caller) => (caller.startedAtMs ?? Infinity) - caller.sentAtMs <= OBJECTIVE_MS);
-const startedForNobody = ({ callers }: Day) =>
-  callers.filter((caller) => (caller.startedAtMs ?? 0) - caller.sentAtMs > PATIENCE_MS + 500);
+const startedAfterCallerLeft = ({ callers }: SimulationResult) =>
+  callers.filter((caller) => (caller.startedAtMs ?? 0) - caller.sentAtMs > CALLER_TIMEOUT_MS + 500);
 
 /**
- * All instances lose power, and when they are back, all callers come at once to those that are up first, which have an
- * eighth of a processor each. In one turn of its loop such an instance finds a hundred requests and serves them one after
- * the other for five seconds; whoever comes meanwhile waits unread, gives up, and is served in the next turn all the
- * same. Callers notice ten seconds in which nearly nobody is answered, although servers are free.
+ * After a power loss of all instances, all callers come at once to the instances that are up first,
+ * which have an eighth of a processor each. In one turn of its loop such an instance finds a
+ * hundred requests and serves them one after the other for five seconds. Callers that come
+ * meanwhile wait unread, give up, and are nevertheless served in the next turn. For ten seconds
+ * almost no caller is answered, although servers are free.
  */
-describe('a crowd of callers at an instance with little processor time', () => {
-  const crowds = [1, 2, 3].flatMap((seed) => [
+describe('a burst of callers at an instance with little processor time', () => {
+  const bursts = [1, 2, 3].flatMap((seed) => [
     { seed, connections: 'kept' as const },
     { seed, connections: 'new' as const },
   ]);
-  for (const { seed, connections } of crowds) {
+  for (const { seed, connections } of bursts) {
     const name = `on ${connections} connections (seed ${seed})`;
-    const before = play(crowd(seed), seed, connections, 'as read');
-    const day = play(crowd(seed), seed, connections, 'intake');
-
-    it(`costs next to no work for callers that have left, ${name}`, () => {
-      assert.ok(startedForNobody(before).length > 10, 'the pattern does harm by itself');
-      const count = startedForNobody(day).length;
-      assert.ok(count <= A_FEW, `${count} for nobody`);
+    const asRead = simulate(burstArrivals(seed), seed, connections, 'as read');
+    const result = simulate(burstArrivals(seed), seed, connections, 'intake');
+
+    it(`causes almost no work for callers that have left, ${name}`, () => {
+      assert.ok(
+        startedAfterCallerLeft(asRead).length > 10,
+        'the burst wastes work without the intake',
+      );
+      const count = startedAfterCallerLeft(result).length;
+      assert.ok(count <= MAX_WASTED_REQUESTS, `${count} after their callers had left`);
     });
 
-    it(`is served in time as far as the processor goes, ${name}`, () => {
-      const [seen, blind] = [startedInTime(day).length, startedInTime(before).length];
-      assert.ok(seen >= blind * 1.5, `${seen} in time, ${blind} served as read`);
+    it(`is served in time as far as the processor allows, ${name}`, () => {
+      const [withIntake, withoutIntake] = [
+        startedInTime(result).length,
+        startedInTime(asRead).length,
+      ];
+      assert.ok(
+        withIntake >= withoutIntake * 1.5,
+        `${withIntake} in time, ${withoutIntake} served as read`,
+      );
     });
 
-    it(`leaves room in the loop for all else, ${name}`, () => {
-      const mostMs = 200;
-      assert.ok(day.longestTurnMs <= mostMs, `${day.longestTurnMs} ms in one turn`);
+    it(`leaves time in the loop for everything else, ${name}`, () => {
+      const maxMs = 200;
+      assert.ok(result.maxTurnMs <= maxMs, `${result.maxTurnMs} ms in one turn`);
     });
 
-    it(`is over at its end, and said to be, ${name}`, () => {
-      const { callers, events } = day;
+    it(`ends, and its end is logged, ${name}`, () => {
+      const { callers, events } = result;
       assert.equal(events[0], INTAKE_EVENTS.began.id);
       assert.equal(events.at(-1), INTAKE_EVENTS.ended.id);
       const last = callers.filter(({ sentAtMs }) => sentAtMs > 8_000);
@@ -167,12 +189,12 @@
 });
 
 describe('requests at an instance that is in time', () => {
-  it('are served at once, without a line', () => {
+  it('are served immediately, without a log line', () => {
     const sentAtMs = Array.from({ length: 40 }, (_unused, index) => 100 + index * 200);
-    const { callers, events } = play(sentAtMs, 1, 'new', 'intake');
+    const { callers, events } = simulate(sentAtMs, 1, 'new', 'intake');
     const waits = callers.map((caller) => (caller.startedAtMs ?? Infinity) - caller.sentAtMs);
-    const mostMs = ACCEPT_COST_MS + READ_COST_MS + 1;
-    assert.ok(Math.max(...waits) <= mostMs, `${Math.max(...waits)} ms`);
+    const maxMs = ACCEPT_COST_MS + READ_COST_MS + 1;
+    assert.ok(Math.max(...waits) <= maxMs, `${Math.max(...waits)} ms`);
     assert.deepEqual(events, []);
   });
 });
--- a/src/core/intake/loop-watch.ts
+++ b/src/core/intake/loop-watch.ts
@@ -1,37 +1,40 @@
-/** Knows how late the event loop is, from a tick that it is to make at fixed times. */
+/** Measures how late the event loop is, from a tick that is due at fixed times. */
 export interface LoopWatch {
-  /** Notes a tick that was due at `dueAtMs`. */
+  /** Records a tick that was due at `dueAtMs`. */
   noteTick(dueAtMs: number, nextDueAtMs: number, nowMs: number): void;
-  /** How late the loop was at its last tick, ms. */
+  /** Lag of the loop at its last tick, ms. */
   lagMs(): number;
   /** Whether turns of the loop are so long that requests wait unread. */
   isLate(nowMs: number): boolean;
-  /** Time that a request which is found now has probably waited unread, ms. */
+  /** Estimated time for which a request that is read now has waited unread, ms. */
   waitedMs(nowMs: number): number;
 }
 
 /**
- * Lateness above which requests count as waiting. A process whose share of a processor is dealt out in tenths of a
- * second is late by up to such a tenth without a backlog, ms.
+ * Lag above which requests count as waiting, ms. A process whose processor share is allotted in
+ * tenths of a second lags by up to such a tenth without a backlog.
  */
-const LATE_MS = 100;
+const MAX_LAG_MS = 100;
 
 /**
- * A watch over a loop that is in time.
+ * Creates a watch that is updated by a periodic tick of the event loop.
  *
- * Answers a small instance to which all callers come at once. What a turn of its loop finds, it handles before it looks
- * again; with some hundred requests that takes seconds, in which further ones wait in sockets unseen. Counted from
- * when it is read, a request has all its time left and is sent on though its caller gave up long ago. One notices
- * requests that are placed and whose callers are gone in the same instant.
+ * The watch is for a small instance that gets the requests of all callers at once. A turn of its
+ * loop handles everything that it finds before the loop polls again; with some hundred requests
+ * that takes seconds, during which further ones wait in sockets unseen. Counted from when it is
+ * read, such a request has all its time remaining and is sent on although its caller gave up long
+ * ago. The symptom is requests that are placed in the same instant in which their callers are found
+ * to be gone.
  *
- * Ticks are handled at the start of a turn, so what is found now has waited since the last one at the least, where that
- * is overdue, and for some part of the turn before it, half of it on average.
+ * Ticks are handled at the start of a turn. So if the next tick is overdue, a request that is read
+ * now has waited at least since that tick was due, and also for a part of the previous turn, half
+ * of it on average.
  */
 export function createLoopWatch(): LoopWatch {
   let lagMs = 0;
   let nextDueAtMs = Infinity;
   const overdueMs = (nowMs: number) => Math.max(0, nowMs - nextDueAtMs);
-  const isLate = (nowMs: number) => lagMs > LATE_MS || overdueMs(nowMs) > LATE_MS;
+  const isLate = (nowMs: number) => lagMs > MAX_LAG_MS || overdueMs(nowMs) > MAX_LAG_MS;
   return {
     noteTick(dueAtMs, nextAtMs, nowMs) {
       lagMs = Math.max(0, nowMs - dueAtMs);
--- a/src/core/intake/types.ts
+++ b/src/core/intake/types.ts
@@ -1,18 +1,18 @@
-/** Turns of the event loop, as far as work is put off from one to another. */
+/** Defers work from one turn of the event loop to the next. */
 export interface Turns {
-  /** Calls back when the turn under way has handled what it found, before the next one looks for more. */
+  /** Calls `callback` after the current turn has handled what it found, before the loop polls again. */
   atEnd(callback: () => void): void;
 }
 
-/** A request that has been read and waits for its turn in this process. */
+/** A request that has been read and waits to be served by this process. */
 export interface WaitingRequest {
-  /** When it has to be answered at the latest, monotonic ms. */
-  readonly answerByMs: number;
+  /** Deadline for the answer, monotonic ms. */
+  readonly answerDeadlineMs: number;
   /** Whether its caller has left. */
   isGone(): boolean;
-  /** Notes that it was dropped, since its caller has left. */
+  /** Records that the request was dropped, since its caller has left. */
   drop(): void;
   serve(): void;
-  /** Refuses it, with the time to come back after, ms; nothing of it has run. */
+  /** Refuses the request with a retry delay, ms; nothing of it has run. */
   refuse(retryAfterMs: number): void;
 }
--- a/src/core/pass-through/answer-reader.ts
+++ b/src/core/pass-through/answer-reader.ts
@@ -5,37 +5,40 @@
 import type { ClientAnswer } from './types';
 import { answerHeaders } from './headers';
 
-/** Takes the body of one answer and passes on what may be passed on. */
+/** Receives the body of one answer and passes on the parts that may be passed on. */
 export interface AnswerReader {
-  /** Returns false where the caller reads slowly. */
-  take(chunk: Buffer): boolean;
-  /** The answer has come whole; returns what is wrong with it, if anything. */
+  /** Adds a chunk of the body; returns false while the caller reads slowly. */
+  addChunk(chunk: Buffer): boolean;
+  /** Ends the answer after its last chunk; returns a problem with it, undefined if it is complete. */
   finish(): string | undefined;
 }
 
-/** Larger answers are passed on while they come, at the price that a broken one cannot be tried again. */
-const MOST_HELD_BYTES = 262_144;
+/**
+ * Maximum size of a buffered answer. Larger ones are passed on as they arrive, so they cannot be
+ * retried if they break off.
+ */
+const MAX_BUFFERED_BYTES = 262_144;
 
 /**
- * Holds an answer until it is whole, so that one which breaks off can be tried again, and so that nothing of it
- * is ever taken for a whole answer.
+ * Creates a reader that buffers an answer until it is complete, so that an answer that breaks off
+ * can be retried and a partial one is never taken for complete.
  */
-export function createHeldAnswer(
+export function createBufferedReader(
   head: AnswerHead,
   answer: ClientAnswer,
   dropped: ReadonlySet<string>,
 ): AnswerReader {
   const chunks: Buffer[] = [];
   let bytes = 0;
-  const isTooLarge = () => bytes > MOST_HELD_BYTES;
+  const isTooLarge = () => bytes > MAX_BUFFERED_BYTES;
   const flush = (): boolean => {
     if (!answer.headSent) answer.sendHead(head.status, answerHeaders(head.headers, dropped));
-    let isFast = true;
-    for (const chunk of chunks.splice(0)) isFast = answer.sendData(chunk) && isFast;
-    return isFast;
+    let mayContinue = true;
+    for (const chunk of chunks.splice(0)) mayContinue = answer.sendData(chunk) && mayContinue;
+    return mayContinue;
   };
   return {
-    take(chunk) {
+    addChunk(chunk) {
       bytes += chunk.length;
       chunks.push(Buffer.from(chunk));
       return isTooLarge() ? flush() : true;
@@ -48,8 +51,8 @@
   };
 }
 
-/** Passes whole events on as they come; half an event is never passed on. */
-export function createStreamAnswer(
+/** Creates a reader that passes on complete events as they arrive, and never a part of an event. */
+export function createStreamReader(
   head: AnswerHead,
   answer: ClientAnswer,
   progress: StreamProgress,
@@ -57,15 +60,15 @@
 ): AnswerReader {
   const splitter = createEventSplitter();
   const sendHead = () => {
-    // A stream that goes on at another server keeps the head of the first.
+    // A stream that is resumed at another server keeps the head of the first answer.
     if (!answer.headSent) answer.sendHead(head.status, answerHeaders(head.headers, dropped));
   };
   return {
-    take(chunk) {
+    addChunk(chunk) {
       const events = splitter.add(chunk);
       if (events.length === 0) return true;
       sendHead();
-      for (const event of events) progress.note(readEventId(event));
+      for (const event of events) progress.recordEvent(readEventId(event));
       return answer.sendData(events.length === 1 ? (events[0] ?? chunk) : Buffer.concat(events));
     },
     finish() {
--- a/src/core/pass-through/attempt-account.test.ts
+++ b/src/core/pass-through/attempt-account.test.ts
@@ -1,48 +1,62 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { createAttemptAccount } from './attempt-account';
+import { createAttemptBudget } from './attempt-account';
 
-describe('what another instance may try for a request', () => {
+describe('attempts reserved for a forwarded request', () => {
   const cases = [
-    { most: 1, mayRepeat: true, lent: 1 },
-    { most: 2, mayRepeat: true, lent: 1 },
-    { most: 3, mayRepeat: true, lent: 2 },
-    { most: 2, mayRepeat: false, lent: 2 },
+    { most: 1, mayRepeat: true, reserved: 1 },
+    { most: 2, mayRepeat: true, reserved: 1 },
+    { most: 3, mayRepeat: true, reserved: 2 },
+    { most: 2, mayRepeat: false, reserved: 2 },
   ];
-  for (const { most, mayRepeat, lent } of cases) {
+  for (const { most, mayRepeat, reserved } of cases) {
     const kind = mayRepeat ? 'may run again' : 'may run once';
-    it(`is ${lent} of ${most} attempts where it ${kind}`, () => {
-      assert.equal(createAttemptAccount(most, mayRepeat).lend(), lent);
+    it(`are ${reserved} of ${most} if the request ${kind}`, () => {
+      assert.equal(createAttemptBudget(most, mayRepeat).reserveForPeer(), reserved);
     });
   }
 });
 
-describe('attempts that were lent', () => {
-  // The other instance is lost together with its answer. Whether it had sent the request, and to how many servers, is
-  // not to be known, and counting less would have it reach more servers than the route allows.
+describe('attempts reserved for another instance', () => {
+  // If the other instance is lost together with its answer, it is unknown whether it had sent the
+  // request, and to how many servers. Counting fewer would let the request reach more servers than
+  // its route allows.
   const cases = [
-    { name: 'come back where none was made', told: 0, used: 0, hasLeft: true },
-    { name: 'come back as far as they were not made', told: 1, used: 1, hasLeft: true },
-    { name: 'are used where nobody can tell', told: undefined, used: 2, hasLeft: false },
-    { name: 'are used where all were made', told: 2, used: 2, hasLeft: false },
-    { name: 'count as told where more were made than lent', told: 9, used: 9, hasLeft: false },
+    { name: 'are returned if none was made', reported: 0, used: 0, hasRemaining: true },
+    { name: 'are returned as far as they were not made', reported: 1, used: 1, hasRemaining: true },
+    {
+      name: 'count as used if their number is unknown',
+      reported: undefined,
+      used: 2,
+      hasRemaining: false,
+    },
+    { name: 'are used if all were made', reported: 2, used: 2, hasRemaining: false },
+    {
+      name: 'count as reported if more were made than reserved',
+      reported: 9,
+      used: 9,
+      hasRemaining: false,
+    },
   ];
-  for (const { name, told, used, hasLeft } of cases) {
+  for (const { name, reported, used, hasRemaining } of cases) {
     it(name, () => {
-      const account = createAttemptAccount(2, false);
-      account.lend();
-      account.settle(told);
-      assert.deepEqual({ used: account.used(), hasLeft: account.hasLeft() }, { used, hasLeft });
+      const budget = createAttemptBudget(2, false);
+      budget.reserveForPeer();
+      budget.settle(reported);
+      assert.deepEqual(
+        { used: budget.used(), hasRemaining: budget.hasRemaining() },
+        { used, hasRemaining },
+      );
     });
   }
 
-  it('are out while the request is there', () => {
-    const account = createAttemptAccount(2, true);
-    account.lend();
-    assert.equal(account.used(), 1);
-    assert.equal(account.hasLeft(), true);
-    account.settle(1);
-    account.take();
-    assert.equal(account.hasLeft(), false);
+  it('are unavailable while the request is there', () => {
+    const budget = createAttemptBudget(2, true);
+    budget.reserveForPeer();
+    assert.equal(budget.used(), 1);
+    assert.equal(budget.hasRemaining(), true);
+    budget.settle(1);
+    budget.reserveOne();
+    assert.equal(budget.hasRemaining(), false);
   });
 });
--- a/src/core/pass-through/attempt-account.ts
+++ b/src/core/pass-through/attempt-account.ts
@@ -1,49 +1,58 @@
-/** Counts the backend servers that one request may still be sent to, at whichever instances. */
-export interface AttemptAccount {
-  /** Servers that it has been sent to, or may have been. */
+/**
+ * Limits the number of backend servers that one request may be sent to, across all instances that
+ * serve it.
+ */
+export interface AttemptBudget {
+  /** Number of servers that the request has been sent to, or may have been. */
   used(): number;
-  /** Whether it may be sent to one more after what is under way. */
-  hasLeft(): boolean;
-  /** Takes one attempt for a server of this region, and returns that number. */
-  take(): number;
-  /** Takes the attempts that an instance of another region may make for the request, and returns how many. */
-  lend(): number;
+  /** Whether the request may be sent to one more server after the attempt in progress. */
+  hasRemaining(): boolean;
+  /** Reserves one attempt for a server of this region, and returns 1. */
+  reserveOne(): number;
+  /**
+   * Reserves the attempts that an instance of another region may make for the request, and returns
+   * their number.
+   */
+  reserveForPeer(): number;
   /**
-   * Settles what was taken last: `used` servers got the request. Undefined where nobody can tell, which counts all that
-   * was taken as used.
+   * Settles the last reservation: `used` servers got the request. Undefined if the number is
+   * unknown; the whole reservation then counts as used.
    */
   settle(used: number | undefined): void;
 }
 
 /**
- * An account of `mostAttempts`, of which none is used.
+ * Creates a budget of `maxAttempts` attempts.
  *
- * A request may be handed to another region, where an instance tries servers of its own. Counted here as one attempt,
- * it reached as many servers there as its route allows, and then as many again here; one notices two instances that
- * both count up under one id. So attempts are lent: what was lent is gone until the other instance says how many it
- * has made, and stays gone where it falls silent, since it may go on with the request unseen.
+ * A request may be forwarded to another region, where an instance tries servers of its own. If that
+ * counted as one attempt here, the request could reach as many servers there as its route allows,
+ * and then as many again here. The symptom is that both instances count up attempts under the same
+ * request id. So attempts are reserved for the other instance: they are unavailable here until it
+ * reports how many it has made, and count as used if it stops responding, since it may continue
+ * with the request unnoticed.
  *
- * Of a request that may run again one attempt is kept back, so that the loss of the other region does not end it.
+ * For a request that may run again, one attempt is withheld, so that the loss of the other region
+ * does not end the request.
  */
-export function createAttemptAccount(mostAttempts: number, mayRepeat: boolean): AttemptAccount {
+export function createAttemptBudget(maxAttempts: number, mayRepeat: boolean): AttemptBudget {
   let settled = 0;
-  let outstanding = 0;
-  const left = () => mostAttempts - settled - outstanding;
+  let reserved = 0;
+  const remaining = () => maxAttempts - settled - reserved;
   return {
-    used: () => settled + outstanding,
-    hasLeft: () => left() > 0,
-    take() {
-      outstanding = 1;
-      return outstanding;
+    used: () => settled + reserved,
+    hasRemaining: () => remaining() > 0,
+    reserveOne() {
+      reserved = 1;
+      return reserved;
     },
-    lend() {
-      const keepBack = mayRepeat && left() > 1 ? 1 : 0;
-      outstanding = Math.max(1, left() - keepBack);
-      return outstanding;
+    reserveForPeer() {
+      const withheld = mayRepeat && remaining() > 1 ? 1 : 0;
+      reserved = Math.max(1, remaining() - withheld);
+      return reserved;
     },
     settle(used) {
-      settled += used ?? outstanding;
-      outstanding = 0;
+      settled += used ?? reserved;
+      reserved = 0;
     },
   };
 }
--- a/src/core/pass-through/client-answer.ts
+++ b/src/core/pass-through/client-answer.ts
@@ -4,16 +4,16 @@
 import { retryAfterText, statusOf } from './refusals';
 import type { ClientAnswer, Refusal } from './types';
 
-/** How an answer is written. */
+/** Options of `createClientAnswer`. */
 export interface ClientAnswerOptions {
   readonly response: ServerResponse;
-  /** Whether the connection is closed after the answer, because this instance is about to stop. */
+  /** Whether to close the connection after the answer, because this instance is about to stop. */
   readonly isLeaving: () => boolean;
-  /** Whether the reader is another instance, which has to know what became of the request. */
+  /** Whether the reader is another instance, which needs the outcome of the request. */
   readonly isForPeer: boolean;
 }
 
-/** An answer over an HTTP response. */
+/** Creates an answer that writes to an HTTP response. */
 export function createClientAnswer(options: ClientAnswerOptions): ClientAnswer {
   const { response, isLeaving, isForPeer } = options;
   let attempts = 0;
@@ -39,7 +39,7 @@
     get headSent() {
       return response.headersSent;
     },
-    noteAttempts(count) {
+    recordAttempts(count) {
       attempts = count;
     },
     sendHead(status, headers) {
@@ -47,8 +47,9 @@
     },
     sendData: (chunk) => response.write(chunk),
     end: () => response.end(),
-    breakOff() {
-      // What is ready is still delivered; without its end the answer cannot be taken for whole.
+    closeIncomplete() {
+      // `destroySoon` still delivers buffered data. Without its end, the answer cannot be taken for
+      // complete.
       const { socket } = response;
       if (socket === null) response.destroy();
       else socket.destroySoon();
--- a/src/core/pass-through/crash-watch.ts
+++ b/src/core/pass-through/crash-watch.ts
@@ -3,55 +3,60 @@
 import type { InboundRequest, RequestPlan } from './types';
 import type { WarmCheck } from './warm-check';
 
-/** Knows requests that crash each server that runs them, by what their tries come to. */
+/** Detects requests that crash each server that runs them, from the results of their attempts. */
 export interface CrashWatch {
-  /** Until when the request is refused, Unix ms; undefined where it is not. */
+  /** Returns the time until which the request is refused, Unix ms; undefined if it is not refused. */
   refusedUntilUnixMs(request: InboundRequest, plan: RequestPlan): number | undefined;
-  /** Watches one try at a server. */
-  watch(request: InboundRequest, plan: RequestPlan, target: CrashTarget): CrashWatchedTry;
+  /** Watches one attempt at a server. */
+  watch(request: InboundRequest, plan: RequestPlan, target: CrashTarget): CrashWatchedAttempt;
 }
 
-/** One try that is about to be sent. */
+/** Server and number of an attempt that is about to be sent. */
 export interface CrashTarget {
   readonly server: KnownServer;
+  /** Number of the attempt among those of its request, from 1. */
   readonly attempt: number;
-  readonly mostConnections: number;
+  readonly maxConnections: number;
 }
 
-/** A try under way. */
-export interface CrashWatchedTry {
-  /** The whole answer came. */
+/** A watched attempt that is in progress. */
+export interface CrashWatchedAttempt {
+  /** The complete answer arrived. */
   answered(): void;
-  /** The connection was reset before the answer was whole. */
+  /** The connection was reset before the answer was complete. */
   reset(): void;
-  /** It ended in a way that says nothing of a crash. */
+  /** The attempt ended in a way that does not indicate a crash. */
   ended(): void;
 }
 
-/** What the watch is made from. */
+/** Options of `createCrashWatch`. */
 export interface CrashWatchOptions {
   readonly guard: Pick<PoisonGuard, 'verdict' | 'watch'>;
   readonly check: Pick<WarmCheck, 'ask'>;
-  /** All regions of the deployment, for requests that are bound to none. */
+  /** All regions of the deployment; used for requests without home regions. */
   readonly regions: () => readonly string[];
 }
 
-function guarded(request: InboundRequest, { service, account = '' }: RequestPlan, attempt: number) {
+function toGuardedRequest(
+  request: InboundRequest,
+  { service, account = '' }: RequestPlan,
+  attempt: number,
+) {
   const { requestId, method, path, body } = request;
   const caller = { id: account };
   return { requestId, attempt, service: { name: service }, caller, method, path, body };
 }
 
 /**
- * A watch over the guard's ledger.
+ * Creates a crash watch that reports to the poison guard.
  *
- * A server that resets a connection has not always crashed: some lose single answers. Taken for a crash, that would
- * refuse sound requests that many callers send. So after a reset the server is asked for a sign of life first, and only
- * one that gives none counts as crashed.
+ * A reset connection does not prove a crash: some servers lose single answers. Counting those as
+ * crashes would refuse harmless requests that many callers send. So after a reset the server gets a
+ * health check, and only counts as crashed if it does not answer or another server has replaced it.
  */
 export function createCrashWatch({ guard, check, regions }: CrashWatchOptions): CrashWatch {
-  const noteIfCrashed = (watched: WatchedTry, target: CrashTarget): void => {
-    check.ask(target.server, target.mostConnections, (result) => {
+  const recordIfCrashed = (watched: WatchedTry, target: CrashTarget): void => {
+    check.ask(target.server, target.maxConnections, (result) => {
       const isGone = result.kind === 'unanswered' || result.kind === 'replaced';
       if (isGone) watched.failed({ kind: 'lostAfterSending', cause: 'reset' });
       else watched.abandoned();
@@ -60,16 +65,16 @@
 
   return {
     refusedUntilUnixMs(request, plan) {
-      const verdict = guard.verdict(guarded(request, plan, 0));
+      const verdict = guard.verdict(toGuardedRequest(request, plan, 0));
       return verdict.kind === 'refused' ? verdict.untilUnixMs : undefined;
     },
     watch(request, plan, target) {
-      const mayKnow = plan.homeRegions.length === 0 ? regions() : plan.homeRegions;
-      const asked = guarded(request, plan, target.attempt);
-      const watched = guard.watch(asked, target.server.incarnationId, mayKnow);
+      const allowedRegions = plan.homeRegions.length === 0 ? regions() : plan.homeRegions;
+      const guardedRequest = toGuardedRequest(request, plan, target.attempt);
+      const watched = guard.watch(guardedRequest, target.server.incarnationId, allowedRegions);
       return {
         answered: () => watched.answered(),
-        reset: () => noteIfCrashed(watched, target),
+        reset: () => recordIfCrashed(watched, target),
         ended: () => watched.abandoned(),
       };
     },
--- a/src/core/pass-through/create-router.test.ts
+++ b/src/core/pass-through/create-router.test.ts
@@ -57,8 +57,8 @@
 };
 const NOTHING_TRIED: TriedDestinations = { ids: new Set(), refusingRegions: new Set() };
 
-/** An instance of the north beside two of the south, with a server in each region. */
-function north(peers: readonly ForwardPeer[]) {
+/** Creates an instance of the region north with the given peers; `announce` adds servers. */
+function createNorthInstance(peers: readonly ForwardPeer[]) {
   let nowMs = 0;
   const routes = createRouteTableStore();
   routes.offer(TABLE);
@@ -102,7 +102,7 @@
       router.choose(REQUEST, { ...PLAN, ...more }, tried, nowMs),
     observe: (to: Parameters<typeof observeDestination>[1]) =>
       observeDestination({ clock, router, request: REQUEST, plan: PLAN }, to),
-    passMs(ms: number) {
+    advanceMs(ms: number) {
       nowMs += ms;
     },
   };
@@ -115,27 +115,27 @@
 const SOUTH = [peer('b-1'), peer('b-2')];
 
 describe('a region that has lost its servers', () => {
-  // All servers of the north go down at once. What is known of the south is from before: it looks idle for a
-  // second or two, whatever is sent there. Without a bound all callers of the north are sent there, wait for a
-  // long round trip, and most are refused there.
-  it('sends the other one a few requests first, and more as their first bytes come', () => {
-    const region = north(SOUTH);
+  // All servers of the north fail at once. What is known of the south is outdated: it looks idle
+  // for a second or two, whatever is sent there. Without a limit, all callers of the north would be
+  // sent there, wait for a long round trip, and most would be refused there.
+  it('sends the other region a few requests first, and more as their first bytes arrive', () => {
+    const region = createNorthInstance(SOUTH);
     region.announce('s-1', 'south-a');
     const firstByteAfterMs = 250;
     const arrivalEveryMs = 10;
-    const waiting: { readonly dueAtMs: number; noteFirstByte(): void }[] = [];
+    const waiting: { readonly dueAtMs: number; recordFirstByte(): void }[] = [];
     const sentBySecond = [0, 0, 0];
     for (let atMs = 0; atMs < 3_000; atMs += arrivalEveryMs) {
-      while ((waiting[0]?.dueAtMs ?? Infinity) <= atMs) waiting.shift()?.noteFirstByte();
+      while ((waiting[0]?.dueAtMs ?? Infinity) <= atMs) waiting.shift()?.recordFirstByte();
       const to = region.choose();
       if (to.kind === 'peer') {
-        const { noteFirstByte } = region.observe(to);
-        waiting.push({ dueAtMs: atMs + firstByteAfterMs, noteFirstByte });
+        const { recordFirstByte } = region.observe(to);
+        waiting.push({ dueAtMs: atMs + firstByteAfterMs, recordFirstByte });
         const second = Math.floor(atMs / 1_000);
         sentBySecond[second] = (sentBySecond[second] ?? 0) + 1;
       }
       if (atMs < firstByteAfterMs) assert.ok(waiting.length <= 8, 'too many before any answer');
-      region.passMs(arrivalEveryMs);
+      region.advanceMs(arrivalEveryMs);
     }
     const [first = 0, second = 0, third = 0] = sentBySecond;
     assert.ok(first < 80, `${first} in the first second`);
@@ -143,15 +143,15 @@
     assert.ok(third > 90, `${third} in the third one`);
   });
 
-  // The south refuses a request for want of room. Its other instances look at the same servers, so asking them
-  // too only costs the caller another round trip.
-  it('does not ask its next instance after a refusal there', () => {
-    const region = north(SOUTH);
+  // The south refuses a request for lack of capacity. Its other instances choose among the same
+  // servers, so trying them too would only cost the caller another round trip.
+  it('does not try another instance of a region after a refusal there', () => {
+    const region = createNorthInstance(SOUTH);
     region.announce('s-1', 'south-a');
     const first = region.choose();
     assert.equal(first.kind, 'peer');
     if (first.kind !== 'peer') return;
-    region.observe(first).noteEnd('refused');
+    region.observe(first).recordEnd('refused');
     const next = region.choose({
       ids: new Set([first.peer.instanceId]),
       refusingRegions: new Set([first.peer.region]),
@@ -161,10 +161,10 @@
   });
 });
 
-/** Guards against a draw of failing servers beside a sound one that is not drawn. */
-describe('servers of which most fail', () => {
-  it('get nothing while one of them is sound', () => {
-    const region = north([]);
+/** Guards against a random sample that contains only failing servers although one is healthy. */
+describe('a region in which most servers fail', () => {
+  it('sends a request to the one healthy server', () => {
+    const region = createNorthInstance([]);
     for (let index = 1; index <= 20; index += 1) region.announce(`n-${index}`, 'north-a');
     for (let index = 1; index <= 19; index += 1) {
       for (let failures = 0; failures < 3; failures += 1) {
@@ -178,11 +178,11 @@
   });
 });
 
-describe('a request of another region that is refused here', () => {
-  // The south is full, and its neighbour asks for hundreds of requests. Did each of them take a place in the line of
-  // those who come back, callers of the south would be told to stay away for the longest time.
-  it('takes no place in line from the callers of this region', () => {
-    const region = north([]);
+describe('a request forwarded by another region that is refused here', () => {
+  // A full region gets hundreds of forwarded requests from its neighbour. If each of them took a
+  // place in the retry schedule, the region's own callers would get the maximum retry delay.
+  it('does not delay the retries of callers of this region', () => {
+    const region = createNorthInstance([]);
     for (let count = 0; count < 200; count += 1) {
       region.choose(NOTHING_TRIED, { isForwarded: true });
     }
@@ -194,10 +194,10 @@
 });
 
 describe('a server that has crashed and is still announced', () => {
-  // Each request that is sent to it costs a connection that cannot be made, and one of the few tries that a request
-  // has, while the other region could have served it at once.
-  it('is passed over for another region after the first connection that could not be made', () => {
-    const region = north(SOUTH);
+  // Each request that is sent to such a server costs a failed connection and one of the request's
+  // few attempts, while the other region could have served it immediately.
+  it('is skipped in favour of another region after the first failed connection', () => {
+    const region = createNorthInstance(SOUTH);
     region.announce('n-1', 'north-a');
     region.announce('s-1', 'south-a');
     assert.equal(region.choose().kind, 'server');
@@ -205,8 +205,8 @@
     assert.equal(region.choose().kind, 'peer');
   });
 
-  it('is still tried where no other region helps', () => {
-    const region = north([]);
+  it('is still tried if no other region helps', () => {
+    const region = createNorthInstance([]);
     region.announce('n-1', 'north-a');
     region.router.loads.noteUnreachable('n-1', 0);
     assert.equal(region.choose().kind, 'server');
--- a/src/core/pass-through/create-router.ts
+++ b/src/core/pass-through/create-router.ts
@@ -17,14 +17,14 @@
   ServicePaces,
   SpillWindows,
 } from '../placement';
-import { alikeKey } from './forwarding';
+import { requestClassKey } from './forwarding';
 import { createLocalServers } from './local-servers';
 import type { LocalChoice, LocalServersOptions } from './local-servers';
 import { createOtherRegions } from './other-regions';
 import type { ForwardPeer, OtherRegionsOptions } from './other-regions';
 import type { InboundRequest, RequestPlan, TriedDestinations } from './types';
 
-/** Where a request goes next. */
+/** Next destination of a request. */
 export type Destination =
   | ({ readonly kind: 'server' } & LocalChoice)
   | { readonly kind: 'peer'; readonly peer: ForwardPeer }
@@ -32,11 +32,14 @@
       readonly kind: 'none';
       readonly reason: 'noServer' | 'overloaded';
       readonly retryAfterMs: number;
-      /** The best server here, whose first byte would come too late; undefined where there is none. */
+      /**
+       * The best server of this region, if its first byte would come too late; undefined if there
+       * is none.
+       */
       readonly best: LocalChoice | undefined;
     };
 
-/** Chooses destinations, and learns from what becomes of requests. */
+/** Chooses destinations for requests, and records their results for later choices. */
 export interface Router {
   choose(
     request: InboundRequest,
@@ -49,37 +52,46 @@
   readonly prefixes: PrefixCacheView;
   readonly correction: PredictionCorrection;
   readonly spillWindows: SpillWindows;
-  /** Notes that a server has read the prompt of a request from here. */
-  noteRead(incarnationId: string, demand: ModelDemand): void;
-  /** Notes that servers have read parts of prompts for other instances. */
+  /** Records that a server has read the prompt of a request from this instance. */
+  recordRead(incarnationId: string, demand: ModelDemand): void;
+  /** Records that servers have read parts of prompts for other instances. */
   noteReadForOthers(read: readonly ReadParts[]): void;
-  /** Forgets the starts of servers that are not among those given. */
+  /** Drops the records of all server incarnations except the given ones. */
   keepOnly(incarnationIds: ReadonlySet<string>): void;
 }
 
-/** What the router is made from. */
+/** Options of `createRouter`. */
 export type RouterOptions = Omit<
   LocalServersOptions,
   'loads' | 'paces' | 'prefixes' | 'correction'
 > &
   Omit<OtherRegionsOptions, 'windows'> & {
-    /** Told of the shared parts that a server has read for a request from here. */
+    /** Called with the shared prompt parts that a server has read for a request from this instance. */
     readonly onRead: (incarnationId: string, partIds: readonly string[]) => void;
   };
 
 /**
- * Multiple of the latency objective that a request may be predicted to wait. Servers that are given more than
- * they finish in time answer all of it late; what is refused at once can come back, and the rest is in time.
+ * Maximum predicted time to the first byte of an admitted request, as a multiple of its latency
+ * objective. Servers that get more than they can finish in time answer all of it late; a request
+ * that is refused immediately can be retried, and the others are in time.
  */
-const PATIENCE_IN_OBJECTIVES = 1;
-/** When to come back where no server is known: they announce themselves every second or so. */
+const MAX_OBJECTIVE_MULTIPLE = 1;
+/** Retry delay if no server is known: servers announce themselves about every second. */
 const NO_SERVER_RETRY_MS = 1_000;
-/** Least time to come back after: less only repeats the refusal, since a slot is freed every few tens of ms. */
-const SHORTEST_RETRY_MS = 200;
-/** Most time to come back after: callers follow it up to a third of the time they have, which is a few seconds. */
-const LONGEST_RETRY_MS = 2_000;
+/**
+ * Minimum retry delay: a shorter one only repeats the refusal, since slots become free only every
+ * few tens of ms.
+ */
+const MIN_RETRY_MS = 200;
+/**
+ * Maximum retry delay: callers have a few seconds in all, and follow a delay up to a third of them.
+ */
+const MAX_RETRY_MS = 2_000;
 
-/** A router that has seen nothing yet. */
+/**
+ * Creates a router that sends requests to the servers of this region, or to instances of other
+ * regions if requests are better served there.
+ */
 export function createRouter(options: RouterOptions): Router {
   const { coldGate } = options;
   const loads = createServerLoads();
@@ -87,56 +99,63 @@
   const prefixes = createPrefixCacheView();
   const correction = createPredictionCorrection();
   const spillWindows = createSpillWindows();
-  const sizes = createSizeAdmission(options.draw);
-  const returns = createReturnSchedule(LONGEST_RETRY_MS);
-  const here = createLocalServers({ ...options, loads, paces, prefixes, correction });
-  const elsewhere = createOtherRegions({ ...options, windows: spillWindows });
+  const sizeAdmission = createSizeAdmission(options.draw);
+  const retrySchedule = createReturnSchedule(MAX_RETRY_MS);
+  const localServers = createLocalServers({ ...options, loads, paces, prefixes, correction });
+  const otherRegions = createOtherRegions({ ...options, windows: spillWindows });
 
-  /** An instance of another region, where the request is better served there. */
-  const chooseElsewhere = (
+  /** Returns an instance of another region, if the request is better served there. */
+  const choosePeer = (
     plan: RequestPlan,
     localMs: number | undefined,
     tried: TriedDestinations,
   ): ForwardPeer | undefined => {
-    // A request goes to another region once at most, so that it cannot circle.
+    // A request is forwarded to another region at most once, so that it cannot circulate.
     if (plan.isForwarded) return undefined;
-    const others = elsewhere.options(plan, tried);
-    const where = chooseRegion({ localMs, objectiveMs: plan.objectiveMs, others });
-    return where.kind === 'remote' ? elsewhere.pickPeer(where.region, tried) : undefined;
+    const others = otherRegions.options(plan, tried);
+    const chosenRegion = chooseRegion({ localMs, objectiveMs: plan.objectiveMs, others });
+    return chosenRegion.kind === 'remote'
+      ? otherRegions.pickPeer(chosenRegion.region, tried)
+      : undefined;
   };
 
-  /** Whether a request may go to a server, by when its first byte is predicted there. */
-  const isLetIn = (choice: LocalChoice, plan: RequestPlan, nowMs: number): boolean => {
+  /**
+   * Returns whether a request may be sent to a server, by the predicted time to its first byte
+   * there. Records prompts that are in time, since the admission by size compares late ones to them.
+   */
+  const isAdmitted = (choice: LocalChoice, plan: RequestPlan, nowMs: number): boolean => {
     const { predictedMs, ownReadMs } = choice;
     const { objectiveMs } = plan;
     if (predictedMs > plan.deadlineAtMs - nowMs) return false;
-    const kind = alikeKey(plan);
-    if (predictedMs > objectiveMs * PATIENCE_IN_OBJECTIVES) {
-      return sizes.letsIn({ kind, predictedMs, ownReadMs, objectiveMs });
+    const kind = requestClassKey(plan);
+    if (predictedMs > objectiveMs * MAX_OBJECTIVE_MULTIPLE) {
+      return sizeAdmission.letsIn({ kind, predictedMs, ownReadMs, objectiveMs });
     }
-    sizes.noteInTime(kind, ownReadMs);
+    sizeAdmission.noteInTime(kind, ownReadMs);
     return true;
   };
 
   const refuse = (
     reason: 'noServer' | 'overloaded',
     plan: RequestPlan,
-    leastMs: number,
+    minDelayMs: number,
     nowMs: number,
     best?: LocalChoice,
   ): Destination => {
-    // The instance that sent it here answers its caller; a place in line would be taken from this region's own.
+    // The instance that forwarded the request answers its caller. A place in the retry schedule
+    // here would delay the callers of this region.
     const retryAfterMs = plan.isForwarded
-      ? leastMs
-      : returns.nextReturnMs(alikeKey(plan), leastMs, nowMs);
+      ? minDelayMs
+      : retrySchedule.nextReturnMs(requestClassKey(plan), minDelayMs, nowMs);
     return { kind: 'none', reason, retryAfterMs, best };
   };
 
-  /** Refuses what no server of this region may be given. */
+  /** Refuses a request that cannot be sent to any server of this region. */
   const refuseWithoutServer = (plan: RequestPlan, nowMs: number): Destination => {
-    const isOnlyFull = !plan.isForwarded && elsewhere.withServers(plan).length > 0;
-    return isOnlyFull
-      ? refuse('overloaded', plan, SHORTEST_RETRY_MS, nowMs)
+    const hasServersElsewhere =
+      !plan.isForwarded && otherRegions.regionsWithServers(plan).length > 0;
+    return hasServersElsewhere
+      ? refuse('overloaded', plan, MIN_RETRY_MS, nowMs)
       : refuse('noServer', plan, NO_SERVER_RETRY_MS, nowMs);
   };
 
@@ -147,22 +166,23 @@
     correction,
     spillWindows,
     choose(request, plan, tried, nowMs) {
-      const { best, suspected } = here.outlook(request, plan, tried, nowMs);
-      const peer = chooseElsewhere(plan, best?.predictedMs, tried);
+      const { best, unreachable } = localServers.outlook(request, plan, tried, nowMs);
+      const peer = choosePeer(plan, best?.predictedMs, tried);
       if (peer !== undefined) return { kind: 'peer', peer };
-      // Where none can be reached and no region helps, one that is only suspected is the best that there is.
-      const choice = best ?? suspected;
+      // If no server is reachable and no other region helps, a server that is only suspected to be
+      // unreachable is the best choice.
+      const choice = best ?? unreachable;
       if (choice === undefined) return refuseWithoutServer(plan, nowMs);
-      if (!isLetIn(choice, plan, nowMs)) {
-        const leastMs = Math.max(SHORTEST_RETRY_MS, choice.predictedMs - plan.objectiveMs);
-        return refuse('overloaded', plan, leastMs, nowMs, choice);
+      if (!isAdmitted(choice, plan, nowMs)) {
+        const minDelayMs = Math.max(MIN_RETRY_MS, choice.predictedMs - plan.objectiveMs);
+        return refuse('overloaded', plan, minDelayMs, nowMs, choice);
       }
       const { server } = choice;
       if (server.coldUntilMs > nowMs) coldGate.noteSent(server.incarnationId, nowMs);
-      returns.noteAdmitted(alikeKey(plan), nowMs);
+      retrySchedule.noteAdmitted(requestClassKey(plan), nowMs);
       return { kind: 'server', ...choice };
     },
-    noteRead(incarnationId, demand) {
+    recordRead(incarnationId, demand) {
       prefixes.noteRead(incarnationId, demand);
       const shared = demand.parts.slice(0, -1).map(({ partId }) => partId);
       if (shared.length > 0) options.onRead(incarnationId, shared);
--- a/src/core/pass-through/forwarding.ts
+++ b/src/core/pass-through/forwarding.ts
@@ -1,13 +1,19 @@
 import { z } from 'zod';
 import type { InboundRequest, RequestPlan } from './types';
 
-/** What an instance tells another beside the request itself, when that one is to serve it in its region. */
+/**
+ * Data that an instance sends along with a request when another instance is to serve it in its
+ * region.
+ */
 
-/** Header that holds the plan. */
+/** Header that holds the plan of a forwarded request. */
 export const PLAN_HEADER = 'coltsfootworks-plan';
-/** Header of the other instance's refusals: what became of the request. */
+/** Header of the other instance's refusals: the outcome of the request. */
 export const OUTCOME_HEADER = 'coltsfootworks-outcome';
-/** Header of the other instance's answers: backend servers that it had sent the request to when the answer began. */
+/**
+ * Header of the other instance's answers: the number of backend servers that it had sent the
+ * request to when the answer began.
+ */
 export const ATTEMPTS_HEADER = 'coltsfootworks-attempts';
 
 const planSchema = z.object({
@@ -22,12 +28,15 @@
   maxAttempts: z.number(),
   homeRegions: z.array(z.string()),
   routesVersion: z.number(),
-  /** Time until the caller gives up; clocks of two instances cannot be compared. */
+  /**
+   * Time until the caller gives up, ms. Relative, because the clocks of two instances cannot be
+   * compared.
+   */
   timeLeftMs: z.number(),
   timeoutLeftMs: z.number(),
 });
 
-/** The plan as the value of a header. */
+/** Returns the plan as a header value. */
 export function writePlan(plan: RequestPlan, maxAttempts: number, nowMs: number): string {
   const { deadlineAtMs, timeoutAtMs, isForwarded, ...rest } = plan;
   const message: z.input<typeof planSchema> = {
@@ -40,7 +49,7 @@
   return JSON.stringify(message);
 }
 
-/** The plan in a header; undefined for one that no instance wrote. */
+/** Parses the plan from a header value; undefined if the value is not one that instances write. */
 export function readPlan(text: string, nowMs: number): RequestPlan | undefined {
   let parsed: unknown;
   try {
@@ -61,22 +70,22 @@
   };
 }
 
-/** Requests that servers treat alike. */
-export function alikeKey({ service, priority, objectiveMs }: RequestPlan): string {
+/** Returns a key that is equal for requests that servers treat alike. */
+export function requestClassKey({ service, priority, objectiveMs }: RequestPlan): string {
   return `${service}/${priority}/${objectiveMs}`;
 }
 
-/** Whether a request may be sent again after it may have run. */
+/** Returns whether a request may be sent again after it may have run. */
 export function isRepeatable({ kind, isResumable }: RequestPlan): boolean {
   return kind === 'idempotent' || (kind === 'stream' && isResumable);
 }
 
-/** When the request has to be answered at the latest, monotonic ms. */
-export function answerByMs({ deadlineAtMs, timeoutAtMs }: RequestPlan): number {
+/** Returns the deadline for the answer, monotonic ms. */
+export function answerDeadlineMs({ deadlineAtMs, timeoutAtMs }: RequestPlan): number {
   return Math.min(deadlineAtMs, timeoutAtMs);
 }
 
-/** What a request is called in log lines. */
+/** Returns the fields that identify a request in log lines. */
 export function requestFields(request: InboundRequest, plan: RequestPlan) {
   return {
     requestId: request.requestId,
--- a/src/core/pass-through/headers.ts
+++ b/src/core/pass-through/headers.ts
@@ -1,6 +1,6 @@
 import type { HeaderMap } from '../exchanges';
 
-/** Headers that concern one connection and are not passed on (RFC 9110, section 7.6.1). */
+/** Hop-by-hop headers, which are not passed on (RFC 9110, section 7.6.1). */
 const CONNECTION_HEADERS = new Set([
   'connection',
   'keep-alive',
@@ -11,21 +11,24 @@
   'upgrade',
 ]);
 
-/** Whether a header is passed between a server and a caller. */
+/** Returns whether a header is passed on between a server and a caller. */
 export function isEndToEndHeader(name: string): boolean {
   return !CONNECTION_HEADERS.has(name.toLowerCase());
 }
 
-/** Headers that the HTTP client writes itself, from the body that it is given. */
+/** Headers that the HTTP client sets itself, from the body that it is given. */
 const WRITTEN_BY_CLIENT = new Set(['content-length', 'expect']);
 
-/** Names that a `Connection` header makes headers of one connection. */
+/** Returns the names that a `Connection` header declares as hop-by-hop. */
 function namedByConnection(value: string | undefined): ReadonlySet<string> {
   if (value === undefined || value === 'keep-alive' || value === 'close') return new Set();
   return new Set(value.split(',').map((name) => name.trim().toLowerCase()));
 }
 
-/** The headers of a request that go on to a backend server; names and values by turns. */
+/**
+ * Returns the headers of a request that are passed on to a backend server, as alternating names and
+ * values.
+ */
 export function headersToPassOn(
   rawHeaders: readonly string[],
   connection: string | undefined,
@@ -46,7 +49,7 @@
   return kept;
 }
 
-/** The headers of an answer that go on to the caller. */
+/** Returns the headers of an answer that are passed on to the caller. */
 export function answerHeaders(headers: HeaderMap, dropped: ReadonlySet<string>): HeaderMap {
   const kept: Record<string, string | string[] | undefined> = {};
   for (const [name, value] of Object.entries(headers)) {
--- a/src/core/pass-through/judge-answer.ts
+++ b/src/core/pass-through/judge-answer.ts
@@ -1,49 +1,53 @@
 import type { AnswerHead } from '../exchanges';
 import type { HeaderDialect } from './types';
 
-/** What the head of an answer shows. */
-export type AnswerVerdict =
-  /** The answer of a server that ran the request; it is passed on. */
+/** Classification of an answer by its head. */
+export type AnswerClassification =
+  /** The server ran the request; the answer is passed on. */
   | { readonly kind: 'ran'; readonly isFailure: boolean }
-  /** The server says that it has not run the request; `isReplaced` where it is not the one that was asked for. */
+  /**
+   * The server states that it has not run the request; `isReplaced` if it is not the addressed
+   * server.
+   */
   | { readonly kind: 'notRun'; readonly isReplaced: boolean }
-  /** No answer to this request, or none that may be passed on. */
+  /** Not an answer to this request, or one that must not be passed on. */
   | { readonly kind: 'wrong'; readonly reason: string };
 
-/** Status of a server that is not the one that was asked for. */
-export const MISDIRECTED = 421;
+/** Status of an answer from a server that is not the addressed one. */
+export const MISDIRECTED_STATUS = 421;
 
-/** The value of a header that comes once. */
+/** Returns the value of a header; the first one if it occurs several times. */
 export function headerText(value: string | string[] | undefined): string | undefined {
   return Array.isArray(value) ? value[0] : value;
 }
 
 /**
- * Judges an answer by its head.
+ * Classifies an answer by its head.
  *
- * A server may send a second answer to a request, late, where the answer to the next is due; its id tells. One
- * that fails may send bytes that look like a success, which lack the signature of a run.
+ * A server may send a late second answer to a request when the answer to the next one is due; the
+ * request id reveals it. A failing server may send bytes that look like a success, but they lack
+ * the signature header, which servers add only to answers of requests that they ran.
  */
-export function judgeAnswer(
+export function classifyAnswer(
   { status, headers }: AnswerHead,
   requestId: string,
   dialect: HeaderDialect,
-): AnswerVerdict {
-  const isReplaced = status === MISDIRECTED;
+): AnswerClassification {
+  const isReplaced = status === MISDIRECTED_STATUS;
   if (headers[dialect.notRun] !== undefined || isReplaced) return { kind: 'notRun', isReplaced };
-  const answeredId = headerText(headers[dialect.requestId]);
-  if (answeredId !== undefined && answeredId !== requestId) {
+  const echoedId = headerText(headers[dialect.requestId]);
+  if (echoedId !== undefined && echoedId !== requestId) {
     return { kind: 'wrong', reason: 'the answer belongs to another request' };
   }
   const isSuccess = status >= 200 && status < 300;
-  if (isSuccess && answeredId === undefined) {
-    return { kind: 'wrong', reason: 'the answer names no request' };
+  if (isSuccess && echoedId === undefined) {
+    return { kind: 'wrong', reason: 'the answer has no request id' };
   }
   if (isSuccess && headers[dialect.signature] === undefined) {
-    return { kind: 'wrong', reason: 'the answer bears no signature' };
+    return { kind: 'wrong', reason: 'the answer has no signature' };
   }
   if (isSuccess && headers['content-encoding'] !== undefined) {
-    return { kind: 'wrong', reason: 'the body is encoded, which was not asked for' };
+    return { kind: 'wrong', reason: 'the body has a content encoding that was not requested' };
   }
   return { kind: 'ran', isFailure: status >= 500 };
 }
--- a/src/core/pass-through/local-servers.ts
+++ b/src/core/pass-through/local-servers.ts
@@ -13,92 +13,107 @@
 } from '../placement';
 import type { KnownServer, ServerRegistry } from '../server-registry';
 import type { ColdGate } from '../shared-budget';
-import { alikeKey } from './forwarding';
+import { requestClassKey } from './forwarding';
 import type { InboundRequest, RequestPlan, TriedDestinations } from './types';
 
-/** The best server of this region for a request, with what is expected of it. */
+/** The best server of this region for a request, with the prediction for it. */
 export interface LocalChoice {
   readonly server: KnownServer;
-  /** Predicted time to the first byte, corrected by earlier ones. */
+  /** Predicted time to the first byte, corrected by the errors of earlier predictions. */
   readonly predictedMs: number;
-  /** The same before it was corrected. */
+  /** Predicted time to the first byte before the correction. */
   readonly rawPredictedMs: number;
-  /** Part of `predictedMs` in which the request's own prompt is read. */
+  /** Part of `predictedMs` that is spent on reading the request's own prompt. */
   readonly ownReadMs: number;
-  /** Prompt tokens that it will probably have to read, those that it copies left out. */
+  /** Estimated prompt tokens that the server has to read, without those that it copies. */
   readonly tokens: number;
-  /** Requests at the server, and prompt tokens that it still has to read for them, as estimated. */
+  /** Estimated number of requests at the server. */
   readonly load: number;
+  /** Estimated prompt tokens that the server has yet to read for the requests at it. */
   readonly pendingTokens: number;
-  /** The server from whose cache it is to copy the prompt; undefined for none. */
+  /** The server from whose cache the prompt is copied; undefined for none. */
   readonly copyFrom: KnownServer | undefined;
-  readonly mostConnections: number;
+  readonly maxConnections: number;
 }
 
-/** What is known of the servers of this region for one request. */
-export interface LocalOutlook {
-  /** Best of those that can be reached, as far as is known; undefined where there is none. */
+/** The best servers of this region for one request. */
+export interface LocalChoices {
+  /** Best server that is not known to be unreachable; undefined if there is none. */
   readonly best: LocalChoice | undefined;
-  /** Best of those to which no connection could be made just now. */
-  readonly suspected: LocalChoice | undefined;
+  /**
+   * Best server among those that recently could not be connected to; set only if no other is
+   * usable.
+   */
+  readonly unreachable: LocalChoice | undefined;
 }
 
-/** Judges the servers of this region. */
+/** Chooses among the servers of this region. */
 export interface LocalServers {
+  /** Returns the best servers for a request. */
   outlook(
     request: InboundRequest,
     plan: RequestPlan,
     tried: TriedDestinations,
     nowMs: number,
-  ): LocalOutlook;
+  ): LocalChoices;
 }
 
-/** What the servers are judged by. */
+/** Options of `createLocalServers`. */
 export interface LocalServersOptions {
   readonly region: string;
   readonly routes: RouteTableStore;
   readonly servers: ServerRegistry;
   readonly pool: Pick<ConnectionPool, 'hasRoom'>;
   readonly coldGate: ColdGate;
-  /** Instances of this region, this one included. */
+  /** Number of instances of this region, including this one. */
   readonly instancesInRegion: () => number;
   readonly loads: ServerLoads;
-  /** What the other instances of this region have under way at its servers. */
+  /** Requests that the other instances of this region have in flight at its servers. */
   readonly others: LoadBoard;
   readonly paces: ServicePaces;
   readonly prefixes: PrefixCacheView;
   readonly correction: PredictionCorrection;
-  /** A number from 0 up to 1. */
+  /** Returns a random number from 0 (inclusive) to 1 (exclusive). */
   readonly draw: () => number;
 }
 
 /**
- * Part of a server's connections that instances use: what they know of one another's number is seconds old,
- * and a connection too many is reset.
+ * Share of a server's connections that all instances of the region together use. Each divides it by
+ * the number of instances, which it knows only as of some seconds ago, and a server resets
+ * connections above its maximum.
  */
-const CONNECTIONS_USED = 0.85;
-/** Part of its latest requests that a server fails, above which it is passed over where another one is sound. */
-const OFTEN_FAILING = 0.2;
-/** Where the routes do not say how many connections a server takes. */
-const CONNECTIONS_UNSTATED = 32;
-/** Stands for a request that says nothing of what it asks of a model. */
+const USABLE_CONNECTION_SHARE = 0.85;
+/**
+ * Share of failures among a server's latest requests above which it is skipped if another server is
+ * healthy.
+ */
+const MAX_FAILURE_SHARE = 0.2;
+/** Connections per server if the routes state no maximum. */
+const DEFAULT_MAX_CONNECTIONS = 32;
+/** Demand of a request that states none. */
 const NO_DEMAND = { parts: [], promptTokens: 0 };
 
-/** Judges servers by what has been seen of them from here. */
+/**
+ * Creates a chooser that rates servers by the observations of this instance and by the reports of
+ * the others.
+ */
 export function createLocalServers(options: LocalServersOptions): LocalServers {
   const { region, routes, servers, pool, coldGate, loads, others, paces, prefixes, correction } =
     options;
 
-  const mostConnections = (service: RoutedService | undefined): number => {
-    const all = service?.maxConnections ?? CONNECTIONS_UNSTATED;
-    const share = (all * CONNECTIONS_USED) / Math.max(1, options.instancesInRegion());
+  const maxConnectionsOf = (service: RoutedService | undefined): number => {
+    const all = service?.maxConnections ?? DEFAULT_MAX_CONNECTIONS;
+    const share = (all * USABLE_CONNECTION_SHARE) / Math.max(1, options.instancesInRegion());
     return Math.max(1, Math.floor(share));
   };
 
-  /** Requests at a server: as instances tell where all of them do, or else as the server's last answers told. */
+  /**
+   * Returns the requests at a server: the sum over all instances if all of them report, otherwise
+   * the load from the server's latest answers.
+   */
   const loadOf = (incarnationId: string, nowMs: number): number => {
-    const isToldByAll = others.heardOf() + 1 >= options.instancesInRegion();
-    return isToldByAll
+    const hasReportsFromAll = others.heardOf() + 1 >= options.instancesInRegion();
+    return hasReportsFromAll
       ? loads.ownInFlight(incarnationId) + others.inFlight(incarnationId)
       : loads.load(incarnationId, nowMs);
   };
@@ -106,12 +121,12 @@
   const pendingTokensOf = (incarnationId: string): number =>
     loads.pendingTokens(incarnationId) + others.pendingTokens(incarnationId);
 
-  const mayBeSentTo = (
+  const canReceive = (
     server: KnownServer,
     service: RoutedService | undefined,
     nowMs: number,
   ): boolean => {
-    if (!pool.hasRoom(server.address, mostConnections(service))) return false;
+    if (!pool.hasRoom(server.address, maxConnectionsOf(service))) return false;
     if (server.coldUntilMs <= nowMs) return true;
     return coldGate.isOpen(server.incarnationId, service?.coldRequestsPerSecond ?? 0, nowMs);
   };
@@ -131,55 +146,58 @@
       uncachedTokens,
       copyableTokens,
       delayMs: loads.delayMs(incarnationId, nowMs),
-      // A failed request is tried elsewhere at best, which takes about as long as it may.
+      // At best, a failed request is retried elsewhere, which takes about as long as the objective.
       failureCostMs: loads.failureShare(incarnationId, nowMs) * plan.objectiveMs,
     };
   };
 
-  /** Where most servers fail, few drawn ones would all be failing beside sound ones. */
+  /**
+   * Returns whether a server fails often. Such servers are not sampled if others are healthy: where
+   * most servers fail, a small sample could consist of failing ones only.
+   */
   const failsOften = ({ incarnationId }: KnownServer, nowMs: number): boolean =>
-    loads.failureShare(incarnationId, nowMs) > OFTEN_FAILING;
+    loads.failureShare(incarnationId, nowMs) > MAX_FAILURE_SHARE;
 
-  /** Some of the servers that hold a part of the prompt, and some of the others. */
-  const toLookAt = (
-    among: readonly KnownServer[],
+  /** Returns a sample of the servers that hold a part of the prompt, and a sample of the others. */
+  const sampleCandidates = (
+    eligible: readonly KnownServer[],
     request: InboundRequest,
     supplies: PromptSupplies,
     nowMs: number,
   ): readonly KnownServer[] => {
     const promptTokens = request.demand?.promptTokens ?? 0;
-    const isHolder = ({ incarnationId }: KnownServer) =>
+    const holdsPromptPart = ({ incarnationId }: KnownServer) =>
       supplies(incarnationId).uncachedTokens < promptTokens;
-    const count = countToLookAt(among.length, options.instancesInRegion());
-    const sample = (some: readonly KnownServer[]) => sampleServers(some, count, options.draw);
-    const sound = among.filter((server) => !failsOften(server, nowMs));
-    const usable = sound.length > 0 ? sound : among;
+    const count = countToLookAt(eligible.length, options.instancesInRegion());
+    const sample = (group: readonly KnownServer[]) => sampleServers(group, count, options.draw);
+    const healthy = eligible.filter((server) => !failsOften(server, nowMs));
+    const usable = healthy.length > 0 ? healthy : eligible;
     return [
-      ...sample(usable.filter(isHolder)),
-      ...sample(usable.filter((server) => !isHolder(server))),
+      ...sample(usable.filter(holdsPromptPart)),
+      ...sample(usable.filter((server) => !holdsPromptPart(server))),
     ];
   };
 
-  const bestOf = (
-    among: readonly KnownServer[],
+  const chooseBest = (
+    eligible: readonly KnownServer[],
     request: InboundRequest,
     plan: RequestPlan,
     nowMs: number,
   ): LocalChoice | undefined => {
-    const ids = among.map((server) => server.incarnationId);
+    const ids = eligible.map((server) => server.incarnationId);
     const service = routes.current()?.table.services.get(plan.service);
     const copyMsPerToken = service?.copyMsPerToken;
     const mayCopy = copyMsPerToken !== undefined;
     const supplies = supplyPrompts(prefixes, ids, request.demand ?? NO_DEMAND, mayCopy);
-    const candidates = toLookAt(among, request, supplies, nowMs).map((server) =>
+    const candidates = sampleCandidates(eligible, request, supplies, nowMs).map((server) =>
       toCandidate(server, plan, supplies(server.incarnationId), nowMs),
     );
     const pace = { ...paces.pace(plan.service), copyMsPerToken };
     const choice = chooseServer(candidates, pace);
-    const byId = (id: string | undefined) => among.find((server) => server.incarnationId === id);
+    const byId = (id: string | undefined) => eligible.find((server) => server.incarnationId === id);
     const server = byId(choice?.incarnationId);
     if (choice === undefined || server === undefined) return undefined;
-    const kind = alikeKey(plan);
+    const kind = requestClassKey(plan);
     return {
       server,
       predictedMs: correction.correct(kind, choice.predictedMs),
@@ -189,25 +207,25 @@
       load: loadOf(server.incarnationId, nowMs),
       pendingTokens: pendingTokensOf(server.incarnationId),
       copyFrom: byId(supplies(server.incarnationId).copyFrom),
-      mostConnections: mostConnections(service),
+      maxConnections: maxConnectionsOf(service),
     };
   };
 
   return {
     outlook(request, plan, tried, nowMs) {
       const mayServeHere = plan.homeRegions.length === 0 || plan.homeRegions.includes(region);
-      if (!mayServeHere) return { best: undefined, suspected: undefined };
+      if (!mayServeHere) return { best: undefined, unreachable: undefined };
       const service = routes.current()?.table.services.get(plan.service);
-      const open = servers
+      const eligible = servers
         .usable(plan.service, region)
         .filter(
-          (server) => !tried.ids.has(server.incarnationId) && mayBeSentTo(server, service, nowMs),
+          (server) => !tried.ids.has(server.incarnationId) && canReceive(server, service, nowMs),
         );
-      const reachable = open.filter((server) => !loads.isBlocked(server.incarnationId, nowMs));
+      const reachable = eligible.filter((server) => !loads.isBlocked(server.incarnationId, nowMs));
       if (reachable.length > 0) {
-        return { best: bestOf(reachable, request, plan, nowMs), suspected: undefined };
+        return { best: chooseBest(reachable, request, plan, nowMs), unreachable: undefined };
       }
-      return { best: undefined, suspected: bestOf(open, request, plan, nowMs) };
+      return { best: undefined, unreachable: chooseBest(eligible, request, plan, nowMs) };
     },
   };
 }
--- a/src/core/pass-through/observe-destination.ts
+++ b/src/core/pass-through/observe-destination.ts
@@ -1,33 +1,36 @@
 import type { Clock } from '../clock';
 import type { LoadReport, SpillSeen } from '../placement';
 import type { Destination, Router } from './create-router';
-import { alikeKey } from './forwarding';
+import { requestClassKey } from './forwarding';
 import type { InboundRequest, RequestPlan } from './types';
 
 /** A destination that a request can be sent to. */
 export type SendableDestination = Exclude<Destination, { kind: 'none' }>;
 
-/** How a try ended, as far as it says something about where it was sent. */
+/** End of an attempt, classified by what it shows about the destination. */
 export type ObservedEnd =
   | 'answered'
   /** The destination failed. */
   | 'failed'
-  /** The destination would not take it. */
+  /** The destination did not accept the request. */
   | 'refused'
-  /** Says nothing about the destination, as when a caller leaves. */
-  | 'untold';
+  /** Shows nothing about the destination, for example when the caller leaves. */
+  | 'inconclusive';
 
-/** Keeps what the router knows of a destination in step with one try there. */
+/** Updates the router's records of a destination with the progress of one attempt. */
 export interface DestinationObserver {
-  noteLoad(report: LoadReport): void;
-  noteFirstByte(): void;
-  noteHeard(): void;
-  noteEnd(end: ObservedEnd): void;
-  /** Whether the destination owes answers and has been silent to all for long. */
+  recordLoad(report: LoadReport): void;
+  recordFirstByte(): void;
+  recordData(): void;
+  recordEnd(end: ObservedEnd): void;
+  /**
+   * Whether the destination has unfinished requests and has sent nothing for any of them for a long
+   * time.
+   */
   isSilent(): boolean;
 }
 
-/** What an observer is made with. */
+/** Options of `observeDestination`. */
 export interface ObserverOptions {
   readonly clock: Pick<Clock, 'monotonicMs'>;
   readonly router: Router;
@@ -35,8 +38,11 @@
   readonly plan: RequestPlan;
 }
 
-/** Silence after which a server that owes answers counts as failed when a request runs out of time, ms. */
-const SILENT_SERVER_MS = 1_200;
+/**
+ * Silence, ms, after which a server with unfinished requests counts as failed when a request to it
+ * times out.
+ */
+const SERVER_SILENCE_TIMEOUT_MS = 1_200;
 
 function observeServer(
   { clock, router, plan, request }: ObserverOptions,
@@ -47,37 +53,37 @@
   const { loads, paces, correction } = router;
   const sentAtMs = clock.monotonicMs();
   let hadFirstByte = false;
-  let isNoted = false;
+  let isEndRecorded = false;
   loads.noteSent(incarnationId, tokens, sentAtMs);
   return {
-    noteLoad(report) {
+    recordLoad(report) {
       loads.noteReport(incarnationId, report, clock.monotonicMs());
     },
-    noteFirstByte() {
+    recordFirstByte() {
       if (hadFirstByte) return;
       hadFirstByte = true;
       const nowMs = clock.monotonicMs();
       const actualMs = nowMs - sentAtMs;
-      // On a busy server the wait for a place in the batch would count as reading.
-      const isRoomy = loads.load(incarnationId, nowMs) < server.slots / 2;
-      if (isRoomy) paces.notePrefill(plan.service, tokens, actualMs);
-      correction.note(alikeKey(plan), to.rawPredictedMs, actualMs);
+      // On a busy server, the wait for a place in the batch would be counted as prefill time.
+      const hasSpareSlots = loads.load(incarnationId, nowMs) < server.slots / 2;
+      if (hasSpareSlots) paces.notePrefill(plan.service, tokens, actualMs);
+      correction.note(requestClassKey(plan), to.rawPredictedMs, actualMs);
       loads.noteFirstByte(incarnationId, { tokens, predictedMs, actualMs }, nowMs);
-      if (request.demand !== undefined) router.noteRead(incarnationId, request.demand);
+      if (request.demand !== undefined) router.recordRead(incarnationId, request.demand);
     },
-    noteHeard() {
+    recordData() {
       loads.noteHeard(incarnationId, clock.monotonicMs());
     },
-    noteEnd(end) {
-      if (isNoted) return;
-      isNoted = true;
+    recordEnd(end) {
+      if (isEndRecorded) return;
+      isEndRecorded = true;
       const nowMs = clock.monotonicMs();
-      const saysNothing = end === 'untold' || end === 'refused';
-      const isFailure = saysNothing ? undefined : end === 'failed';
+      const isInconclusive = end === 'inconclusive' || end === 'refused';
+      const isFailure = isInconclusive ? undefined : end === 'failed';
       loads.noteEnded(incarnationId, { hadFirstByte, tokens, isFailure }, nowMs);
       if (end === 'answered') paces.noteSlotTime(plan.service, nowMs - sentAtMs);
     },
-    isSilent: () => loads.silentMs(incarnationId, clock.monotonicMs()) >= SILENT_SERVER_MS,
+    isSilent: () => loads.silentMs(incarnationId, clock.monotonicMs()) >= SERVER_SILENCE_TIMEOUT_MS,
   };
 }
 
@@ -90,30 +96,30 @@
   const sentAtMs = clock.monotonicMs();
   let isWaiting = true;
   spillWindows.begin(plan.service, region);
-  const end = (seen: SpillSeen): void => {
+  const endSpill = (seen: SpillSeen): void => {
     if (!isWaiting) return;
     isWaiting = false;
     spillWindows.end(plan.service, region, seen, clock.monotonicMs());
   };
-  const noteFirstByte = (): void => {
+  const recordFirstByte = (): void => {
     const objectiveShare = (clock.monotonicMs() - sentAtMs) / plan.objectiveMs;
-    end({ kind: 'firstByte', objectiveShare });
+    endSpill({ kind: 'firstByte', objectiveShare });
   };
   return {
-    noteLoad() {},
-    noteFirstByte,
-    noteHeard() {},
-    noteEnd(observed) {
+    recordLoad() {},
+    recordFirstByte,
+    recordData() {},
+    recordEnd(observed) {
       switch (observed) {
         case 'answered':
-          noteFirstByte();
+          recordFirstByte();
           return;
-        case 'untold':
-          end({ kind: 'nothing' });
+        case 'inconclusive':
+          endSpill({ kind: 'nothing' });
           return;
         case 'refused':
         case 'failed':
-          end({ kind: 'refused' });
+          endSpill({ kind: 'refused' });
           return;
         default:
           observed satisfies never;
@@ -123,7 +129,7 @@
   };
 }
 
-/** Begins to observe a try that is about to be sent. */
+/** Starts to observe an attempt that is about to be sent. */
 export function observeDestination(
   options: ObserverOptions,
   to: SendableDestination,
--- a/src/core/pass-through/open-ingress.ts
+++ b/src/core/pass-through/open-ingress.ts
@@ -12,23 +12,23 @@
 import type { RetryAllowance } from '../shared-budget';
 import { createClientAnswer } from './client-answer';
 import { PASS_THROUGH_EVENTS } from './events';
-import { PLAN_HEADER, answerByMs, readPlan } from './forwarding';
+import { PLAN_HEADER, answerDeadlineMs, readPlan } from './forwarding';
 import { headerBytes } from './header-bytes';
 import { headerText } from './judge-answer';
 import { headersToPassOn } from './headers';
 import { createRequestPlanner } from './plan-request';
 import type { ChargedPlan, RefusedPlan } from './plan-request';
-import { passQuota } from './quota-gate';
+import { chargeQuota } from './quota-gate';
 import type { ServedRequest } from './request-end';
 import { serveRequest } from './serve-request';
 import type { ServeDependencies } from './serve-request';
 import type { ClientAnswer, InboundRequest, Refusal, RefusalReason, RequestPlan } from './types';
 
-/** What a listener for requests is opened with. */
+/** Options of `openIngress`. */
 export interface IngressOptions {
   readonly host: string;
   readonly port: number;
-  /** Who sends here: callers, or other instances that have chosen a route already. */
+  /** Senders of the requests: callers, or other instances that have already chosen a route. */
   readonly from: 'callers' | 'peers';
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -38,34 +38,37 @@
   readonly serving: ServeDependencies;
   readonly quotas: Pick<AccountQuotas, 'require' | 'giveBack'>;
   /** Shared by all listeners of the process. */
-  readonly intake: Pick<Intake, 'enter' | 'noteConnection'>;
+  readonly intake: Pick<Intake, 'enter' | 'recordConnection'>;
   readonly watch: Pick<LoopWatch, 'waitedMs'>;
   /** Whether a planned stop has begun. */
   readonly isLeaving: () => boolean;
-  /** Whether new requests are refused, because there is not enough time left to answer them. */
+  /** Whether to refuse new requests, because too little time remains to answer them. */
   readonly isRefusing: () => boolean;
-  /** Calls that this listener answers beside requests; for other instances alone. */
+  /** Calls that this listener answers besides requests; only for other instances. */
   readonly calls?: CallHandlers;
 }
 
-/** A listener for requests. */
+/** An open listener for requests. */
 export interface Ingress extends AsyncDisposable {
   readonly port: number;
-  /** Requests that have been read or are being read, and have no whole answer yet. */
+  /** Number of requests that have been read or are being read, and are not completely answered. */
   openRequests(): number;
-  /** Takes over how long connections may stay idle and how long a header section may take. */
+  /** Applies the idle timeout of connections and the header timeout of the routes in force. */
   applyLimits(): void;
 }
 
-/** Largest header section that is read at all; the routes' own limit is checked on top. */
-const MOST_HEADER_BYTES = 131_072;
-/** How long another instance may keep a connection idle: longer than gaps between bursts. */
-const PEER_KEPT_MS = 60_000;
-/** Idle time of callers' connections until the routes say otherwise. */
-const FIRST_IDLE_MS = 15_000;
-/** When to come back to an instance that has no routes yet: it reads them within a second or so. */
+/** Maximum header section that is read at all; the routes' own limit is checked in addition. */
+const MAX_HEADER_BYTES = 131_072;
+/** Idle timeout of connections from other instances: longer than gaps between bursts. */
+const PEER_IDLE_TIMEOUT_MS = 60_000;
+/** Idle timeout of callers' connections until the routes state one. */
+const DEFAULT_IDLE_TIMEOUT_MS = 15_000;
+/** Retry delay while this instance has no routes: it reads them within about a second. */
 const NO_ROUTES_RETRY_MS = 500;
-/** When to come back after an instance that is stopping: at once, since another one takes the request. */
+/**
+ * Retry delay while this instance is stopping: almost none, since another instance takes the
+ * request.
+ */
 const STOPPING_RETRY_MS = 50;
 
 function listen(server: Server, host: string, port: number): Promise<number> {
@@ -96,7 +99,7 @@
     answer: ClientAnswer,
     reason: RefusalReason,
     retryAfterMs?: number,
-    more: Readonly<Record<string, unknown>> = {},
+    extraFields: Readonly<Record<string, unknown>> = {},
   ): void => {
     const refusal: Refusal = { reason, outcome: 'notRun', retryAfterMs };
     answer.refuse(refusal);
@@ -106,11 +109,11 @@
       outcome: refusal.outcome,
       retryAfterMs,
       routesVersion: routes.current()?.table.version,
-      ...more,
+      ...extraFields,
     });
   };
 
-  /** Refuses a request whose body is not going to be read, and so the connection with it. */
+  /** Refuses a request whose body is not read, and closes its connection. */
   const refuseUnread = (
     incoming: IncomingMessage,
     response: ServerResponse,
@@ -121,13 +124,13 @@
     refuse(incoming, answer, reason);
   };
 
-  /** When a request came that is found in its socket now. */
-  const receivedNowMs = (): number => {
+  /** Returns the estimated arrival time of a request that is read from its socket now. */
+  const estimateArrivalMs = (): number => {
     const nowMs = clock.monotonicMs();
     return nowMs - watch.waitedMs(nowMs);
   };
 
-  const planFor = createRequestPlanner(dialect, random);
+  const planRequest = createRequestPlanner(dialect, random);
 
   const droppedHeaders = new Set([
     ...dialect.systemOnly,
@@ -182,10 +185,10 @@
     answer: ClientAnswer,
     request: InboundRequest,
     plan: RequestPlan,
-    giveBack: () => void,
+    refund: () => void,
   ): void => {
     const onDone = (done: ServedRequest): void => {
-      if (done.hasNotRun) giveBack();
+      if (done.hasNotRun) refund();
       serving.onDone(done);
     };
     const handle = serveRequest({ ...serving, onDone }, request, plan, answer);
@@ -199,10 +202,10 @@
     response: ServerResponse,
     answer: ClientAnswer,
     { plan, charge }: ChargedPlan,
-    mostBodyBytes: number,
+    maxBodyBytes: number,
     receivedAtMs: number,
   ): void => {
-    readBody(incoming, mostBodyBytes, (reading) => {
+    readBody(incoming, maxBodyBytes, (reading) => {
       switch (reading.kind) {
         case 'gone':
           return;
@@ -219,17 +222,17 @@
       if (!plan.isForwarded) retries.noteRequest(plan.service, receivedAtMs);
       const request = toRequest(incoming, reading.body, receivedAtMs);
       intake.enter({
-        answerByMs: answerByMs(plan),
+        answerDeadlineMs: answerDeadlineMs(plan),
         isGone: () => response.destroyed,
         drop: () => logDropped(request),
         refuse: (retryAfterMs) => refuse(incoming, answer, 'instanceBehind', retryAfterMs),
         serve() {
-          passQuota(quotas, {
+          chargeQuota(quotas, {
             charge,
             isGone: () => response.destroyed,
             drop: () => logDropped(request),
             refuse: (decision) => refuseForQuota(incoming, answer, plan, decision),
-            serve: (giveBack) => serveNow(response, answer, request, plan, giveBack),
+            serve: (refund) => serveNow(response, answer, request, plan, refund),
           });
         },
       });
@@ -252,11 +255,11 @@
       return;
     }
     const route = inForce.selector.select(incoming.headers.host ?? '', incoming.url ?? '/');
-    const receivedAtMs = receivedNowMs();
+    const receivedAtMs = estimateArrivalMs();
     const planned: ChargedPlan | RefusedPlan =
       route === undefined
         ? { refused: 'noSuchRoute' }
-        : planFor(incoming.headers, route, inForce, receivedAtMs);
+        : planRequest(incoming.headers, route, inForce, receivedAtMs);
     if ('refused' in planned) {
       refuse(incoming, answer, planned.refused);
       return;
@@ -270,13 +273,13 @@
     answer: ClientAnswer,
   ): void => {
     const text = headerText(incoming.headers[PLAN_HEADER]);
-    const receivedAtMs = receivedNowMs();
+    const receivedAtMs = estimateArrivalMs();
     const plan = text === undefined ? undefined : readPlan(text, receivedAtMs);
     if (plan === undefined) {
       refuse(incoming, answer, 'malformedRequest');
       return;
     }
-    // The instance where it was sent has charged its account.
+    // The instance that received the request from its caller has charged the client account.
     serve(incoming, response, answer, { plan, charge: { kind: 'free' } }, Infinity, receivedAtMs);
   };
 
@@ -295,12 +298,14 @@
     else handleCaller(incoming, response, answer);
   };
 
-  const server = createServer({ maxHeaderSize: MOST_HEADER_BYTES, noDelay: true }, handle);
+  const server = createServer({ maxHeaderSize: MAX_HEADER_BYTES, noDelay: true }, handle);
   server.requestTimeout = 0;
-  server.on('connection', intake.noteConnection);
+  server.on('connection', intake.recordConnection);
   const applyLimits = () => {
     const limits = routes.current()?.table.limits;
-    server.keepAliveTimeout = isForPeer ? PEER_KEPT_MS : (limits?.idleTimeoutMs ?? FIRST_IDLE_MS);
+    server.keepAliveTimeout = isForPeer
+      ? PEER_IDLE_TIMEOUT_MS
+      : (limits?.idleTimeoutMs ?? DEFAULT_IDLE_TIMEOUT_MS);
     if (limits !== undefined) server.headersTimeout = limits.headerTimeoutMs;
   };
   applyLimits();
--- a/src/core/pass-through/other-regions.ts
+++ b/src/core/pass-through/other-regions.ts
@@ -7,52 +7,55 @@
 export interface ForwardPeer {
   readonly instanceId: string;
   readonly region: string;
-  /** Where it takes forwarded requests, `HOST:PORT`. */
+  /** Address that accepts forwarded requests, `HOST:PORT`. */
   readonly forwardAddress: string;
   readonly inFlightRequests: number;
 }
 
-/** The other regions, as far as a request may be served there. */
+/** Chooses among the other regions in which a request may be served. */
 export interface OtherRegions {
-  /** Regions that have servers for a request, whether they may be sent more now or not. */
-  withServers(plan: RequestPlan): readonly string[];
-  /** Those of them that may be sent more now. */
+  /** Returns the regions that have servers for a request, whether or not they may be sent more now. */
+  regionsWithServers(plan: RequestPlan): readonly string[];
+  /** Returns the regions that have servers for a request and may be sent more now. */
   options(plan: RequestPlan, tried: TriedDestinations): readonly RegionOption[];
   /**
-   * One instance there that has not been tried, best one to which a connection stands: making one takes two more ways
-   * over the long link. Undefined where there is none.
+   * Returns an instance of the region that has not been tried; undefined if there is none. Prefers
+   * an instance with an open connection: opening one takes two more one-way trips over the long
+   * link.
    */
   pickPeer(region: string, tried: TriedDestinations): ForwardPeer | undefined;
 }
 
-/** What they are judged by. */
+/** Options of `createOtherRegions`. */
 export interface OtherRegionsOptions {
   /** The region of this instance. */
   readonly region: string;
   readonly servers: ServerRegistry;
   readonly windows: SpillWindows;
   readonly pool: Pick<ConnectionPool, 'hasIdle'>;
-  /** Other instances that may be given work. */
+  /** Returns the other instances that requests may be forwarded to. */
   readonly peers: () => readonly ForwardPeer[];
-  /** A number from 0 up to 1. */
+  /** Returns a random number from 0 (inclusive) to 1 (exclusive). */
   readonly draw: () => number;
 }
 
 /**
- * Idle time within which a kept connection to an instance is used, ms. Instances close theirs after a minute, and TCP
- * probes them from the first second on, so that one that has gone silent is closed within some ten.
+ * Maximum idle time of a reused connection to an instance, ms. Instances close idle connections
+ * after a minute, and TCP probes them from the first second on, so that a silent connection is
+ * closed within about ten seconds.
  */
 export const PEER_IDLE_MS = 45_000;
 
-/** Judges other regions by what their instances tell and how they answer. */
+/** Creates a chooser that rates other regions by the reports and answers of their instances. */
 export function createOtherRegions(options: OtherRegionsOptions): OtherRegions {
   const { region, servers, windows, pool, draw } = options;
 
-  const mayBeThere = ({ homeRegions }: RequestPlan, other: string): boolean =>
+  const isAllowedIn = ({ homeRegions }: RequestPlan, other: string): boolean =>
     homeRegions.length === 0 || homeRegions.includes(other);
 
   const utilization = (other: string, peers: readonly ForwardPeer[]): number => {
-    // Instances tell what they have open at all services together, so all slots of the region count.
+    // Instances report their open requests of all services together, so all slots of the region
+    // count.
     const slots = servers
       .all()
       .filter((server) => server.region === other && !server.isDraining)
@@ -63,18 +66,18 @@
     return inFlight / Math.max(1, slots);
   };
 
-  const withServers = (plan: RequestPlan): readonly string[] => {
+  const regionsWithServers = (plan: RequestPlan): readonly string[] => {
     const regions = new Set(options.peers().map((peer) => peer.region));
     return [...regions]
-      .filter((other) => other !== region && mayBeThere(plan, other))
+      .filter((other) => other !== region && isAllowedIn(plan, other))
       .filter((other) => servers.usable(plan.service, other).length > 0);
   };
 
   return {
-    withServers,
+    regionsWithServers,
     options(plan, tried) {
       const peers = options.peers();
-      return withServers(plan)
+      return regionsWithServers(plan)
         .filter((other) => !tried.refusingRegions.has(other))
         .filter((other) => windows.hasRoom(plan.service, other))
         .map((other) => ({ region: other, utilization: utilization(other, peers) }));
@@ -84,8 +87,8 @@
         .peers()
         .filter((peer) => peer.region === inRegion && !tried.ids.has(peer.instanceId));
       const connected = peers.filter((peer) => pool.hasIdle(peer.forwardAddress, PEER_IDLE_MS));
-      const among = connected.length > 0 ? connected : peers;
-      return among[Math.floor(draw() * among.length)];
+      const choices = connected.length > 0 ? connected : peers;
+      return choices[Math.floor(draw() * choices.length)];
     },
   };
 }
--- a/src/core/pass-through/plan-request.ts
+++ b/src/core/pass-through/plan-request.ts
@@ -8,18 +8,18 @@
 import type { RequestCharge } from './quota-gate';
 import type { HeaderDialect, RefusalReason, RequestPlan } from './types';
 
-/** What is planned for a request, and what it costs. */
+/** Plan of a request, and its charge against the quota of its client account. */
 export interface ChargedPlan {
   readonly plan: RequestPlan;
   readonly charge: RequestCharge;
 }
 
-/** Why no plan could be made for a request. */
+/** Reason why no plan could be made for a request. */
 export interface RefusedPlan {
   readonly refused: RefusalReason;
 }
 
-/** Plans one request by its headers and its route. */
+/** Makes the plan of one request from its headers and its route. */
 export type RequestPlanner = (
   headers: HeaderMap,
   route: HostRoute,
@@ -27,16 +27,19 @@
   receivedAtMs: number,
 ) => ChargedPlan | RefusedPlan;
 
-/** Deadline of a request that states none, and the longest that one may state. */
-const LONGEST_DEADLINE_MS = 600_000;
+/** Time until the caller gives up, ms: the default, and the maximum that a request may state. */
+const MAX_TIME_LEFT_MS = 600_000;
 
-function statedTimeLeftMs(text: string | undefined): number {
+function parseTimeLeftMs(text: string | undefined): number {
   const value = Number(text);
-  if (text === undefined || !Number.isFinite(value) || value < 0) return LONGEST_DEADLINE_MS;
-  return Math.min(LONGEST_DEADLINE_MS, value);
+  if (text === undefined || !Number.isFinite(value) || value < 0) return MAX_TIME_LEFT_MS;
+  return Math.min(MAX_TIME_LEFT_MS, value);
 }
 
-/** Plans requests by who sends them and by what is in force when they are read. */
+/**
+ * Creates a planner that applies the client account of the caller and the routes in force when the
+ * request is read.
+ */
 export function createRequestPlanner(dialect: HeaderDialect, random: RandomSource): RequestPlanner {
   return (headers, route, { table, accounts }, receivedAtMs) => {
     const service = pickTarget(route, random.next());
@@ -45,11 +48,11 @@
     const identity = identify({ accounts, isPublicRoute: route.isPublic, key });
     if (identity.kind === 'unknown') return { refused: 'unknownKey' };
     const account = identity.kind === 'account' ? identity.account : undefined;
-    const handled = handlingRegions(route.homeRegions, account?.homeRegions ?? []);
-    if (handled.kind === 'nowhere') return { refused: 'noRegion' };
+    const allowedRegions = handlingRegions(route.homeRegions, account?.homeRegions ?? []);
+    if (allowedRegions.kind === 'nowhere') return { refused: 'noRegion' };
     const charge = chargeFor(account, headers, dialect);
     if (charge.kind === 'malformed') return { refused: 'malformedRequest' };
-    const timeLeftMs = statedTimeLeftMs(headerText(headers[dialect.timeLeftMs]));
+    const timeLeftMs = parseTimeLeftMs(headerText(headers[dialect.timeLeftMs]));
     const plan: RequestPlan = {
       route: route.name,
       account: account?.name,
@@ -60,7 +63,7 @@
       objectiveMs: route.objectiveMs,
       pauseObjectiveMs: route.pauseObjectiveMs,
       maxAttempts: route.maxAttempts,
-      homeRegions: handled.kind === 'only' ? handled.regions : [],
+      homeRegions: allowedRegions.kind === 'only' ? allowedRegions.regions : [],
       routesVersion: table.version,
       deadlineAtMs: receivedAtMs + timeLeftMs,
       timeoutAtMs: receivedAtMs + route.timeoutMs,
--- a/src/core/pass-through/quota-gate.ts
+++ b/src/core/pass-through/quota-gate.ts
@@ -3,17 +3,17 @@
 import type { HeaderMap } from '../exchanges';
 import type { HeaderDialect } from './types';
 
-/** What a request costs its account. */
+/** Charge of a request against the quota of its client account. */
 export type RequestCharge =
-  /** Nobody's quota is touched. */
+  /** No quota is charged. */
   | { readonly kind: 'free' }
   | { readonly kind: 'charged'; readonly request: QuotaRequest }
-  /** It states its size in a form that cannot be read. */
+  /** The token count that the request states cannot be parsed. */
   | { readonly kind: 'malformed' };
 
 const FREE: RequestCharge = { kind: 'free' };
 
-/** What a request costs its account, in the unit of the account's quota. */
+/** Returns the charge of a request, in the unit of the quota of its client account. */
 export function chargeFor(
   account: ClientAccount | undefined,
   headers: HeaderMap,
@@ -39,30 +39,30 @@
   }
 }
 
-/** What becomes of a request at the gate. */
-export interface GatedRequest {
+/** A request to charge, with a callback for each outcome. */
+export interface ChargeableRequest {
   readonly charge: RequestCharge;
   /** Whether its caller has left. */
   readonly isGone: () => boolean;
-  /** Serves it; `giveBack` is to be called once it is known not to have run. */
-  readonly serve: (giveBack: () => void) => void;
+  /** Serves the request; call `refund` once it is known not to have run. */
+  readonly serve: (refund: () => void) => void;
   readonly refuse: (decision: Exclude<QuotaDecision, { kind: 'granted' }>) => void;
-  /** Its caller has left while it waited. */
+  /** Called if the caller left while the request waited. */
   readonly drop: () => void;
 }
 
-/** Lets requests pass that are inside the quota of their account. */
-export function passQuota(
+/** Charges a request to the quota of its client account, and serves it if the quota allows. */
+export function chargeQuota(
   quotas: Pick<AccountQuotas, 'require' | 'giveBack'>,
-  gated: GatedRequest,
+  chargeable: ChargeableRequest,
 ): void {
-  const { charge, isGone, serve, refuse, drop } = gated;
+  const { charge, isGone, serve, refuse, drop } = chargeable;
   if (charge.kind !== 'charged') {
     serve(() => {});
     return;
   }
   const { request } = charge;
-  const giveBack = () => quotas.giveBack(request);
+  const refund = () => quotas.giveBack(request);
   quotas.require(request, (decision) => {
     if (decision.kind !== 'granted') {
       if (!isGone()) refuse(decision);
@@ -70,10 +70,10 @@
       return;
     }
     if (isGone()) {
-      giveBack();
+      refund();
       drop();
       return;
     }
-    serve(giveBack);
+    serve(refund);
   });
 }
--- a/src/core/pass-through/read-event-id.ts
+++ b/src/core/pass-through/read-event-id.ts
@@ -1,6 +1,6 @@
 const ID_LINE = /^id: ?(.*)$/m;
 
-/** The id of one server-sent event; undefined where it has none. */
+/** Returns the id of a server-sent event; undefined if it has none. */
 export function readEventId(event: Buffer): string | undefined {
   return ID_LINE.exec(event.toString('latin1'))?.[1]?.trimEnd();
 }
--- a/src/core/pass-through/ready-connections.test.ts
+++ b/src/core/pass-through/ready-connections.test.ts
@@ -12,8 +12,8 @@
   }));
 }
 
-/** Counts the connections that an instance of the north makes. */
-function opened(peers: readonly ForwardPeer[]): Map<string, number> {
+/** Counts the connections that an instance of the region north opens. */
+function countOpened(peers: readonly ForwardPeer[]): Map<string, number> {
   const counts = new Map<string, number>();
   const connections = createReadyConnections({
     selfId: 'north-0',
@@ -33,18 +33,19 @@
   return counts;
 }
 
-// A peak begins, and the first requests that leave the region each wait for a connection to be made over the long link
-// before they can even be sent. Callers of that region miss their objective although the other one is idle.
+// At the start of a peak, the first requests that leave the region each waited for a new connection
+// over the long link before they could be sent. Callers of that region missed their objective
+// although the other region was idle.
 describe('connections to other regions', () => {
   const cases = [
     { name: 'are kept to both instances of a small region', south: 2, expected: 6 },
     { name: 'are kept to the one instance of a region', south: 1, expected: 3 },
     { name: 'do not grow with the fleet', south: 40, expected: 6 },
-    { name: 'are none where there is no other region', south: 0, expected: 0 },
+    { name: 'are none if there is no other region', south: 0, expected: 0 },
   ];
   for (const { name, south, expected } of cases) {
     it(name, () => {
-      const counts = opened([...peersOf('north', 5), ...peersOf('south', south)]);
+      const counts = countOpened([...peersOf('north', 5), ...peersOf('south', south)]);
       const total = [...counts.values()].reduce((sum, count) => sum + count, 0);
       assert.equal(total, expected);
     });
--- a/src/core/pass-through/ready-connections.ts
+++ b/src/core/pass-through/ready-connections.ts
@@ -2,38 +2,42 @@
 import { rankFor } from '../rendezvous';
 import type { ForwardPeer } from './other-regions';
 
-/** Keeps connections to instances of other regions open before a request needs them. */
+/** Keeps connections to instances of other regions open before requests need them. */
 export interface ReadyConnections {
-  /** Opens those that are missing. */
+  /** Opens the missing connections. */
   refill(): void;
 }
 
-/** What they are kept with. */
+/** Options of `createReadyConnections`. */
 export interface ReadyConnectionsOptions {
   readonly selfId: string;
   readonly region: string;
   readonly pool: Pick<ConnectionPool, 'count' | 'send'>;
   readonly peers: () => readonly ForwardPeer[];
-  /** Path on the listener of other instances that answers at once. */
+  /** Path on the listener of other instances that is answered immediately. */
   readonly path: string;
 }
 
-/** Instances of each other region to which connections are kept; one may go at any time, and its work finds the next. */
+/** Instances per other region to keep connections to. If one stops, its requests can use the other. */
 const PARTNERS_PER_REGION = 2;
-/** Connections kept to each: requests that leave a region within one round trip of the longest links, in calm times. */
+/**
+ * Connections to keep open per instance: the requests that leave a region within one round trip of
+ * the longest links at normal load.
+ */
 const CONNECTIONS_PER_PARTNER = 3;
-/** Time for a connection, ms; several round trips of the longest links. */
+/** Connect timeout, ms: several round trips of the longest links. */
 const CONNECT_TIMEOUT_MS = 800;
 
-const IGNORE_ANSWER = { onHead() {}, onData() {}, onEnd() {} };
+const IGNORING_LISTENER = { onHead() {}, onData() {}, onEnd() {} };
 
 /**
- * Connections that are opened by the first refill.
+ * Creates a set of standby connections; the first `refill` opens them.
  *
- * Making a connection to another region takes a round trip before the request can leave. One notices requests to other
- * regions that take three times their way, mostly in the first seconds of a peak or after a start, when most of them
- * need a new connection. Each instance has partners of its own, drawn by a hash, so that the number
- * of connections does not grow with the fleet.
+ * Opening a connection to another region takes a round trip before the request can be sent. Without
+ * standby connections, requests to other regions take three times the one-way delay, mostly in the
+ * first seconds of a peak or after a start, when most of them need a new connection. Each instance
+ * chooses partners of its own by a hash, so that the number of connections does not grow with the
+ * fleet.
  */
 export function createReadyConnections(options: ReadyConnectionsOptions): ReadyConnections {
   const { selfId, region, pool, path } = options;
@@ -51,17 +55,17 @@
     });
   };
 
-  const openOne = (address: string): void => {
+  const openConnection = (address: string): void => {
     pool.send(
       address,
       {
         mostConnections: CONNECTIONS_PER_PARTNER,
         connectTimeoutMs: CONNECT_TIMEOUT_MS,
-        // No kept connection is used, so that each of these makes a new one.
+        // Reuses no idle connection, so that each of these requests opens a new one.
         mostIdleMs: -1,
       },
       { method: 'GET', path, headers: [], body: new Uint8Array() },
-      IGNORE_ANSWER,
+      IGNORING_LISTENER,
     );
   };
 
@@ -69,7 +73,7 @@
     refill() {
       for (const { forwardAddress } of partners()) {
         const missing = CONNECTIONS_PER_PARTNER - pool.count(forwardAddress);
-        for (let count = 0; count < missing; count += 1) openOne(forwardAddress);
+        for (let count = 0; count < missing; count += 1) openConnection(forwardAddress);
       }
     },
   };
--- a/src/core/pass-through/refusals.ts
+++ b/src/core/pass-through/refusals.ts
@@ -1,6 +1,6 @@
 import type { Refusal, RefusalReason } from './types';
 
-/** Refusals that no waiting mends. */
+/** Statuses of refusals for which a later retry does not help. */
 const STATUS_BY_FINAL_REASON: Partial<Record<RefusalReason, number>> = {
   noSuchRoute: 404,
   unknownKey: 401,
@@ -10,8 +10,9 @@
 };
 
 /**
- * The status of a refusal. 503 promises that the request has not run, so that a caller may send it again; what
- * may have run is 504 when time ran out and 502 otherwise, which promise nothing.
+ * Returns the HTTP status of a refusal. 503 promises that the request has not run, so that the
+ * caller may send it again. If the request may have run, the status is 504 after a timeout and 502
+ * otherwise, which promise nothing.
  */
 export function statusOf({ reason, outcome }: Refusal): number {
   const final = STATUS_BY_FINAL_REASON[reason];
@@ -22,7 +23,7 @@
 
 const MS_PER_S = 1_000;
 
-/** The value of the header that says when to come back, in seconds with fractions. */
+/** Formats the value of the retry-after header, in seconds with fractions. */
 export function retryAfterText(retryAfterMs: number): string {
   return (Math.ceil(retryAfterMs) / MS_PER_S).toFixed(2);
 }
--- a/src/core/pass-through/request-end.ts
+++ b/src/core/pass-through/request-end.ts
@@ -3,37 +3,41 @@
 import type { RequestLog } from './request-log';
 import type { ClientAnswer, InboundRequest, Refusal, RefusalReason, RequestPlan } from './types';
 
-/** How a request ended, for counts and latencies. */
+/** Result of a request, for the counts and latencies in metrics. */
 export interface ServedRequest {
   readonly plan: RequestPlan;
   readonly result: 'answered' | 'brokenOff' | 'callerGone' | RefusalReason;
   readonly firstByteMs: number;
   readonly totalMs: number;
-  /** Backend servers that it has been sent to, those that another instance told of included. */
+  /**
+   * Number of backend servers that the request has been sent to, including those that another
+   * instance reported.
+   */
   readonly attempts: number;
-  /** Whether no server has run it, and none will. */
+  /** Whether no server has run the request, and none will. */
   readonly hasNotRun: boolean;
 }
 
-/** Ends one request, in one of the ways that there are. */
+/** Ends one request: as answered, refused, broken off, or left by its caller. */
 export interface RequestEnd {
   isOver(): boolean;
-  /** Notes that the request may have run. */
-  noteMayHaveRun(): void;
+  /** Records that the request may have run. */
+  markMayHaveRun(): void;
   mayHaveRun(): boolean;
-  /** Keeps the failure that a server answered with, for the case that no other answer comes. */
-  keepFailure(passOn: () => void): void;
-  /** The whole answer has been passed on. */
+  /** Keeps the failure answer of a server, which is passed on if no other answer arrives. */
+  keepFailureAnswer(passOn: () => void): void;
+  /** Ends the request after the complete answer has been passed on. */
   answered(): void;
   callerGone(): void;
   /**
-   * Nothing more is tried. The caller gets the failure of a server that was kept, or else is refused; an answer that has
-   * begun is broken off. `best` is the best server, where what was expected of it is the reason.
+   * Ends the request without further attempts. The caller gets the kept failure answer of a server,
+   * or else a refusal; an answer that has begun is closed incomplete. `best` is the server that was
+   * predicted to be too slow, if that is the reason.
    */
   giveUp(reason: RefusalReason, retryAfterMs: number | undefined, best?: LocalChoice): void;
 }
 
-/** What the end of a request is made with. */
+/** Options of `createRequestEnd`. */
 export interface RequestEndOptions {
   readonly clock: Pick<Clock, 'monotonicMs'>;
   readonly request: InboundRequest;
@@ -41,17 +45,17 @@
   readonly answer: ClientAnswer;
   readonly log: RequestLog;
   readonly attempts: () => number;
-  /** When the first byte of an answer came, monotonic ms; undefined where none has. */
+  /** Returns the time of the first byte of an answer, monotonic ms; undefined if there is none. */
   readonly firstByteAtMs: () => number | undefined;
   readonly onDone: (done: ServedRequest) => void;
 }
 
-/** The end of a request that goes on. */
+/** Creates the object that ends one request and reports its result. */
 export function createRequestEnd(options: RequestEndOptions): RequestEnd {
   const { clock, request, plan, answer, log, attempts, onDone } = options;
   let isOver = false;
   let mayHaveRun = false;
-  let passFailureOn: (() => void) | undefined;
+  let passOnKeptFailure: (() => void) | undefined;
 
   const finish = (result: ServedRequest['result'], hasNotRun = false): void => {
     isOver = true;
@@ -68,7 +72,7 @@
       outcome,
       retryAfterMs: outcome === 'notRun' ? retryAfterMs : undefined,
     };
-    answer.noteAttempts(attempts());
+    answer.recordAttempts(attempts());
     answer.refuse(refusal);
     log.refused(refusal, best);
     finish(reason, outcome === 'notRun');
@@ -76,29 +80,30 @@
 
   return {
     isOver: () => isOver,
-    noteMayHaveRun() {
+    markMayHaveRun() {
       mayHaveRun = true;
     },
     mayHaveRun: () => mayHaveRun,
-    keepFailure(passOn) {
+    keepFailureAnswer(passOn) {
       mayHaveRun = true;
-      passFailureOn = passOn;
+      passOnKeptFailure = passOn;
     },
     answered: () => finish('answered'),
     callerGone: () => finish('callerGone', attempts() === 0),
     giveUp(reason, retryAfterMs, best) {
       if (answer.headSent) {
-        answer.breakOff();
+        answer.closeIncomplete();
         log.brokenOff(reason);
         finish('brokenOff');
         return;
       }
-      if (passFailureOn === undefined) {
+      if (passOnKeptFailure === undefined) {
         refuse(reason, retryAfterMs, best);
         return;
       }
-      // A server's own answer says more than a refusal, and names the server to whoever looks for the cause.
-      passFailureOn();
+      // A server's own answer carries more information than a refusal, and identifies the server
+      // for diagnosis.
+      passOnKeptFailure();
       finish('answered');
     },
   };
--- a/src/core/pass-through/request-log.ts
+++ b/src/core/pass-through/request-log.ts
@@ -3,37 +3,40 @@
 import { destinationName } from './attempt';
 import type { Attempt } from './attempt';
 import { PASS_THROUGH_EVENTS } from './events';
-import { answerByMs, requestFields } from './forwarding';
+import { answerDeadlineMs, requestFields } from './forwarding';
 import type { LocalChoice } from './local-servers';
 import type { SendableDestination } from './observe-destination';
 import type { StreamProgress } from './stream-progress';
 import type { InboundRequest, Refusal, RefusalReason, RequestPlan } from './types';
 
-/** The log lines of one request: one for each decision, and one for its end. */
+/** Writes the log lines of one request: one for each decision, and one for its end. */
 export interface RequestLog {
   placed(to: SendableDestination): void;
   attemptFailed(attempt: Attempt, reason: string, status?: number): void;
-  /** `firstByteAtMs` is undefined where the answer had no body. */
+  /** Logs a complete answer; `firstByteAtMs` is undefined if the answer had no body. */
   answered(attempt: Attempt, status: number, firstByteAtMs: number | undefined): void;
-  /** `best` is the server that was judged too slow; undefined where none could take the request. */
+  /**
+   * Logs a refusal; `best` is the best server, which was predicted to be too slow, and undefined if
+   * no server could accept the request.
+   */
   refused(refusal: Refusal, best: LocalChoice | undefined): void;
   brokenOff(reason: RefusalReason): void;
   callerGone(): void;
 }
 
-/** What the lines are made from. */
+/** Options of `createRequestLog`. */
 export interface RequestLogOptions {
   readonly clock: Pick<Clock, 'monotonicMs'>;
   readonly logger: Logger;
   readonly request: InboundRequest;
   readonly plan: RequestPlan;
   readonly progress: StreamProgress;
-  /** Servers that the request has been sent to so far. */
+  /** Returns the number of servers that the request has been sent to so far. */
   readonly attempts: () => number;
 }
 
-/** What was expected of a server, and why. */
-function outlookOf({ predictedMs, tokens, pendingTokens, load, copyFrom }: LocalChoice) {
+/** Returns the prediction for a server and its inputs as log fields. */
+function predictionFields({ predictedMs, tokens, pendingTokens, load, copyFrom }: LocalChoice) {
   return {
     predictedMs: Math.round(predictedMs),
     tokens: Math.round(tokens),
@@ -43,12 +46,12 @@
   };
 }
 
-/** What a choice of a destination rested on. */
-function basisOf(to: SendableDestination) {
-  return to.kind === 'peer' ? { toRegion: to.peer.region } : outlookOf(to);
+/** Returns the basis of the choice of a destination as log fields. */
+function placementFields(to: SendableDestination) {
+  return to.kind === 'peer' ? { toRegion: to.peer.region } : predictionFields(to);
 }
 
-/** A log for one request. */
+/** Creates the log of one request. */
 export function createRequestLog(options: RequestLogOptions): RequestLog {
   const { clock, logger, request, plan, progress } = options;
   const fields = () => ({ ...requestFields(request, plan), attempts: options.attempts() });
@@ -59,12 +62,12 @@
     placed: (to) =>
       logger.event(PASS_THROUGH_EVENTS.placed, {
         ...fields(),
-        ...basisOf(to),
+        ...placementFields(to),
         promptTokens: request.demand?.promptTokens,
         mostAttempts: plan.maxAttempts,
         sinceReceivedMs: totalMs(),
         to: destinationName(to),
-        timeLeftMs: Math.round(answerByMs(plan) - clock.monotonicMs()),
+        timeLeftMs: Math.round(answerDeadlineMs(plan) - clock.monotonicMs()),
       }),
     attemptFailed: (attempt, reason, status) =>
       logger.event(PASS_THROUGH_EVENTS.attemptFailed, {
@@ -91,7 +94,7 @@
       logger.event(PASS_THROUGH_EVENTS.refused, {
         ...fields(),
         ...refusal,
-        ...(best === undefined ? {} : outlookOf(best)),
+        ...(best === undefined ? {} : predictionFields(best)),
         bestServer: best?.server.incarnationId,
         objectiveMs: plan.objectiveMs,
         promptTokens: request.demand?.promptTokens,
--- a/src/core/pass-through/send-when-warm.ts
+++ b/src/core/pass-through/send-when-warm.ts
@@ -2,25 +2,28 @@
 import type { KnownServer } from '../server-registry';
 import type { WarmCheck } from './warm-check';
 
-/** How a request is sent once its server is known to be warm. */
-export interface WarmSend {
+/** Options of `sendWhenWarm`. */
+export interface SendWhenWarmOptions {
   readonly check: WarmCheck;
   readonly server: KnownServer;
-  /** Connections that may be open to the server at once. */
-  readonly mostConnections: number;
-  /** Sends the request; undefined where no connection is free. */
+  /** Maximum number of open connections to the server. */
+  readonly maxConnections: number;
+  /** Sends the request; returns undefined if no connection is free. */
   readonly send: () => Exchange | undefined;
   readonly onEnd: AnswerListener['onEnd'];
-  /** The server has become cold; nothing was sent to it. */
+  /** Called if the server has become cold; nothing was sent to it. */
   readonly onCold: () => void;
 }
 
-/** Sends a request at once, or after a check where one is needed. The exchange it returns covers both. */
-export function sendWhenWarm(options: WarmSend): Exchange {
+/**
+ * Sends a request immediately, or after a check if one is needed. Aborting the returned exchange
+ * aborts the check or the request, whichever is in progress.
+ */
+export function sendWhenWarm(options: SendWhenWarmOptions): Exchange {
   const { check, server, send, onEnd, onCold } = options;
   let current: Pick<Exchange, 'abort'> | undefined;
   let sent: Exchange | undefined;
-  let isGivenUp = false;
+  let isAborted = false;
 
   const sendNow = (): void => {
     sent = send();
@@ -29,9 +32,9 @@
   };
 
   if (check.isNeeded(server)) {
-    current = check.ask(server, options.mostConnections, (result) => {
-      if (isGivenUp) {
-        onEnd({ kind: 'neverSent', reason: 'given up before it was sent' });
+    current = check.ask(server, options.maxConnections, (result) => {
+      if (isAborted) {
+        onEnd({ kind: 'neverSent', reason: 'aborted before it was sent' });
         return;
       }
       switch (result.kind) {
@@ -39,14 +42,17 @@
           sendNow();
           return;
         case 'replaced':
-          // The one that has its address refuses the request, and is known for it from then on.
+          // The server that now has the address rejects the request, which reveals the replacement.
           sendNow();
           return;
         case 'cold':
           onCold();
           return;
         case 'unanswered':
-          onEnd({ kind: 'neverSent', reason: `no word on whether it is cold: ${result.reason}` });
+          onEnd({
+            kind: 'neverSent',
+            reason: `the check for a cold server failed: ${result.reason}`,
+          });
           return;
         default:
           result satisfies never;
@@ -58,7 +64,7 @@
 
   return {
     abort(cause) {
-      isGivenUp = true;
+      isAborted = true;
       current?.abort(cause);
     },
     pause: () => sent?.pause(),
--- a/src/core/pass-through/serve-request.ts
+++ b/src/core/pass-through/serve-request.ts
@@ -4,15 +4,15 @@
 import type { RetryAllowance } from '../shared-budget';
 import { destinationName, startAttempt } from './attempt';
 import type { Attempt, AttemptResult } from './attempt';
-import { createAttemptAccount } from './attempt-account';
-import type { CrashWatch, CrashWatchedTry } from './crash-watch';
+import { createAttemptBudget } from './attempt-account';
+import type { CrashWatch, CrashWatchedAttempt } from './crash-watch';
 import type { Router } from './create-router';
-import { answerByMs, isRepeatable } from './forwarding';
+import { answerDeadlineMs, isRepeatable } from './forwarding';
 import type { SendableDestination } from './observe-destination';
 import { createRequestEnd } from './request-end';
 import type { ServedRequest } from './request-end';
 import { createRequestLog } from './request-log';
-import { watchForSilence } from './silence-watch';
+import { abortSilentAttempts } from './silence-watch';
 import { createStreamProgress } from './stream-progress';
 import type { StreamProgress } from './stream-progress';
 import type {
@@ -25,7 +25,7 @@
 } from './types';
 import type { WarmCheck } from './warm-check';
 
-/** What serving needs. */
+/** Dependencies of `serveRequest`. */
 export interface ServeDependencies {
   readonly clock: Clock;
   readonly logger: Logger;
@@ -35,64 +35,67 @@
   readonly warmCheck: WarmCheck;
   readonly crashWatch: CrashWatch;
   readonly retries: RetryAllowance;
-  /** Another server has answered at the address of this one. */
+  /** Called when a server other than `serverId` has answered at its address. */
   readonly onReplaced: (serverId: string) => void;
   readonly onDone: (done: ServedRequest) => void;
-  /** A request was refused before anything was done for it. */
+  /** Called when a request was refused before any work was done for it. */
   readonly onRefused: (reason: RefusalReason, service: string) => void;
 }
 
-/** A request that is being served. */
+/** Handle of a request that is being served. */
 export interface ServedHandle {
-  /** The caller has left: work for it is given up. */
+  /** Cancels the request because its caller has left. */
   cancel(): void;
 }
 
-/** Tries that never left this process before a request is refused; each names another server. */
-const MOST_UNSENT = 4;
-/** When to come back after servers could not be reached: they are tried again within this time. */
+/**
+ * Maximum attempts that may fail before the request leaves this process; each uses another server.
+ * The request is refused afterwards.
+ */
+const MAX_UNSENT_ATTEMPTS = 4;
+/** Retry delay after servers could not be reached: they are tried again within this time. */
 const UNSENT_RETRY_MS = 500;
-/** When to come back after a server that was full: a slot of a busy server is free within this time. */
+/** Retry delay after a server was full: a slot of a busy server is free within this time. */
 const REJECTED_RETRY_MS = 400;
-/** When to come back after time ran out before anything was sent. */
+/** Retry delay after a timeout before anything was sent. */
 const TIMED_OUT_RETRY_MS = 1_000;
 
-/** Backend servers that got the request in one try; undefined where nobody can tell. */
+/** Returns how many backend servers got the request in one attempt; undefined if that is unknown. */
 function serversUsed(attempt: Attempt, result: AttemptResult): number | undefined {
   if (result.kind === 'neverSent') return 0;
   if (attempt.to.kind === 'server') return 1;
-  // An instance that was lost midway may have gone on with the request after it last told.
+  // An instance that was lost midway may have continued with the request after its last report.
   return result.kind === 'lost' ? undefined : attempt.serversTriedThere();
 }
 
-/** Serves one request: sends it, passes its answer on, tries again where that is allowed and helps. */
+/** Serves one request: sends it, passes its answer on, and retries where that is allowed and helps. */
 export function serveRequest(
-  needs: ServeDependencies,
+  dependencies: ServeDependencies,
   request: InboundRequest,
   plan: RequestPlan,
   answer: ClientAnswer,
 ): ServedHandle {
-  const { clock, router, retries } = needs;
+  const { clock, router, retries } = dependencies;
   const triedIds = new Set<string>();
   const refusingRegions = new Set<string>();
   const tried: TriedDestinations = { ids: triedIds, refusingRegions };
   const progress: StreamProgress = createStreamProgress(clock, request.lastEventId);
   const mayRepeat = isRepeatable(plan);
-  const account = createAttemptAccount(plan.maxAttempts, mayRepeat);
+  const attemptBudget = createAttemptBudget(plan.maxAttempts, mayRepeat);
   let current: Attempt | undefined;
-  let watched: CrashWatchedTry | undefined;
-  let unsent = 0;
+  let crashWatchedAttempt: CrashWatchedAttempt | undefined;
+  let unsentAttempts = 0;
   let isTimedOut = false;
   let firstByteAtMs: number | undefined;
   let lastFailure: RefusalReason = 'noServer';
 
   const log = createRequestLog({
     clock,
-    logger: needs.logger,
+    logger: dependencies.logger,
     request,
     plan,
     progress,
-    attempts: account.used,
+    attempts: attemptBudget.used,
   });
   const end = createRequestEnd({
     clock,
@@ -100,20 +103,20 @@
     plan,
     answer,
     log,
-    attempts: account.used,
+    attempts: attemptBudget.used,
     firstByteAtMs: () => firstByteAtMs,
     onDone(done) {
       stopTimers();
-      needs.onDone(done);
+      dependencies.onDone(done);
     },
   });
 
-  /** Whether the request may be sent to one more server; takes that out of the budget. */
+  /** Returns whether the request may be sent to one more server; takes that out of the retry budget. */
   const mayTryAgain = (): boolean =>
-    !isTimedOut && account.hasLeft() && retries.take(plan.service, clock.monotonicMs());
+    !isTimedOut && attemptBudget.hasRemaining() && retries.take(plan.service, clock.monotonicMs());
 
   const afterLoss = (): void => {
-    end.noteMayHaveRun();
+    end.markMayHaveRun();
     lastFailure = 'serverFailed';
     if (mayRepeat && mayTryAgain()) tryNext();
     else end.giveUp(isTimedOut ? 'timedOut' : 'serverFailed', undefined);
@@ -126,9 +129,9 @@
   };
 
   const afterUnsent = (): void => {
-    unsent += 1;
+    unsentAttempts += 1;
     if (isTimedOut) end.giveUp('timedOut', TIMED_OUT_RETRY_MS);
-    else if (unsent < MOST_UNSENT) tryNext();
+    else if (unsentAttempts < MAX_UNSENT_ATTEMPTS) tryNext();
     else end.giveUp('noServer', UNSENT_RETRY_MS);
   };
 
@@ -138,9 +141,10 @@
       return;
     }
     lastFailure = 'overloaded';
-    // Where servers there have rejected the request, a next try is a repeat to those; otherwise it is the first one.
-    const isFree = isTimedOut || serversTried === 0;
-    if (isFree || mayTryAgain()) afterUnsent();
+    // If servers there have rejected the request, the next attempt is a retry; otherwise it is the
+    // first one.
+    const needsNoRetryBudget = isTimedOut || serversTried === 0;
+    if (needsNoRetryBudget || mayTryAgain()) afterUnsent();
     else end.giveUp('overloaded', REJECTED_RETRY_MS);
   };
 
@@ -148,7 +152,7 @@
     attempt: Attempt,
     result: AttemptResult & { kind: 'serverFailed' },
   ): void => {
-    end.keepFailure(() => {
+    end.keepFailureAnswer(() => {
       result.passOn();
       log.answered(attempt, result.status, firstByteAtMs);
     });
@@ -157,18 +161,18 @@
     else end.giveUp('serverFailed', undefined);
   };
 
-  const tellCrashWatch = (result: AttemptResult): void => {
-    if (result.kind === 'answered') watched?.answered();
-    else if (result.kind === 'lost' && result.wasReset) watched?.reset();
-    else watched?.ended();
-    watched = undefined;
+  const reportToCrashWatch = (result: AttemptResult): void => {
+    if (result.kind === 'answered') crashWatchedAttempt?.answered();
+    else if (result.kind === 'lost' && result.wasReset) crashWatchedAttempt?.reset();
+    else crashWatchedAttempt?.ended();
+    crashWatchedAttempt = undefined;
   };
 
   const onResult = (attempt: Attempt, result: AttemptResult): void => {
     current = undefined;
-    tellCrashWatch(result);
+    reportToCrashWatch(result);
     firstByteAtMs ??= attempt.firstByteAtMs();
-    account.settle(serversUsed(attempt, result));
+    attemptBudget.settle(serversUsed(attempt, result));
     switch (result.kind) {
       case 'answered':
         log.answered(attempt, result.status, firstByteAtMs);
@@ -179,7 +183,7 @@
         afterUnsent();
         return;
       case 'rejected':
-        log.attemptFailed(attempt, 'the server says that it has not run the request');
+        log.attemptFailed(attempt, 'the server states that it has not run the request');
         afterRejection();
         return;
       case 'peerRefused':
@@ -201,36 +205,37 @@
   };
 
   const send = (to: SendableDestination): void => {
-    const attemptsLent = to.kind === 'peer' ? account.lend() : account.take();
-    answer.noteAttempts(account.used());
+    const attemptsReserved =
+      to.kind === 'peer' ? attemptBudget.reserveForPeer() : attemptBudget.reserveOne();
+    answer.recordAttempts(attemptBudget.used());
     triedIds.add(destinationName(to));
     log.placed(to);
     if (to.kind === 'server') {
-      const { server, mostConnections } = to;
-      const target = { server, mostConnections, attempt: account.used() };
-      watched = needs.crashWatch.watch(request, plan, target);
+      const { server, maxConnections } = to;
+      const target = { server, maxConnections, attempt: attemptBudget.used() };
+      crashWatchedAttempt = dependencies.crashWatch.watch(request, plan, target);
     }
-    let early: AttemptResult | undefined;
+    let earlyResult: AttemptResult | undefined;
     const attempt: Attempt = startAttempt({
-      ...needs,
+      ...dependencies,
       request,
       plan,
       to,
       answer,
       progress,
-      attemptsLent,
+      attemptsReserved,
       onResult(result) {
-        // A try that ends before it has begun has no name here yet.
-        if (current === undefined) early = result;
+        // An attempt may end before `startAttempt` has returned it.
+        if (current === undefined) earlyResult = result;
         else onResult(current, result);
       },
     });
     current = attempt;
-    if (early !== undefined) onResult(attempt, early);
+    if (earlyResult !== undefined) onResult(attempt, earlyResult);
   };
 
   function tryNext(): void {
-    const refusedUntilUnixMs = needs.crashWatch.refusedUntilUnixMs(request, plan);
+    const refusedUntilUnixMs = dependencies.crashWatch.refusedUntilUnixMs(request, plan);
     if (refusedUntilUnixMs !== undefined) {
       end.giveUp('suspectedOfCrashes', refusedUntilUnixMs - clock.unixMs());
       return;
@@ -244,18 +249,19 @@
   }
 
   /**
-   * Time is up. While a request is out, only the end of its exchange shows whether it has left: one that is
-   * refused as "not run" from here while a server runs it would be sent again by its caller, and run twice.
+   * Ends the request at its deadline. While an attempt is in progress, only the end of its exchange
+   * shows whether the request has been sent: if it were refused as `notRun` while a server runs it,
+   * the caller would send it again and it would run twice.
    */
-  const deadline = clock.schedule(answerByMs(plan), () => {
+  const deadline = clock.schedule(answerDeadlineMs(plan), () => {
     isTimedOut = true;
     if (current === undefined) end.giveUp('timedOut', TIMED_OUT_RETRY_MS);
     else current.abort('timeout');
   });
-  const silence = watchForSilence({
+  const silence = abortSilentAttempts({
     clock,
     loads: router.loads,
-    current: () => (mayRepeat && account.hasLeft() ? current : undefined),
+    current: () => (mayRepeat && attemptBudget.hasRemaining() ? current : undefined),
   });
 
   function stopTimers(): void {
@@ -269,7 +275,7 @@
       if (end.isOver()) return;
       log.callerGone();
       end.callerGone();
-      watched?.ended();
+      crashWatchedAttempt?.ended();
       current?.forget();
       current?.abort('aborted');
     },
--- a/src/core/pass-through/stream-progress.ts
+++ b/src/core/pass-through/stream-progress.ts
@@ -1,16 +1,19 @@
 import type { Clock } from '../clock';
 
-/** What is passed on of a stream, over all servers that served a part of it. */
+/** Progress of a stream that is passed on, across all servers that served a part of it. */
 export interface StreamProgress {
   readonly lastEventId: string | undefined;
   readonly events: number;
-  /** Longest pause between two events so far, over all servers, ms. */
+  /** Maximum pause between two events so far, across all servers, ms. */
   readonly longestPauseMs: number;
-  /** Notes an event that has been passed on. */
-  note(eventId: string | undefined): void;
+  /** Records an event that has been passed on. */
+  recordEvent(eventId: string | undefined): void;
 }
 
-/** The progress of a stream that goes on after the event `lastEventId`, or begins where that is undefined. */
+/**
+ * Creates the progress of a stream that resumes after the event `lastEventId`, or starts if that is
+ * undefined.
+ */
 export function createStreamProgress(
   clock: Pick<Clock, 'monotonicMs'>,
   lastEventId: string | undefined,
@@ -29,7 +32,7 @@
     get longestPauseMs() {
       return longestPauseMs;
     },
-    note(eventId) {
+    recordEvent(eventId) {
       const nowMs = clock.monotonicMs();
       longestPauseMs = Math.max(longestPauseMs, nowMs - (lastEventAtMs ?? nowMs));
       lastEventAtMs = nowMs;
--- a/src/core/pass-through/testing/play-admission.ts
+++ b/src/core/pass-through/testing/play-admission.ts
@@ -9,38 +9,41 @@
 import type { InboundRequest, RequestPlan } from '../types';
 
 /**
- * Plays callers with prompts of all sizes to instances that choose among the same servers, each of which reads one prompt
- * after the other. Time is counted in steps; nothing is measured.
+ * Simulates callers with prompts of all sizes, and instances that choose among the same servers.
+ * Each server reads one prompt after the other. Time is simulated and advances in fixed steps.
  */
 
 /** One request of a caller. */
 export interface Arrival {
   readonly tokens: number;
-  readonly wasLetIn: boolean;
-  /** Time to its first byte, ms; undefined where it was refused. */
+  readonly wasAdmitted: boolean;
+  /** Time to its first byte, ms; undefined if it was refused. */
   readonly firstByteMs: number | undefined;
 }
 
-/** What is played. */
+/** Parameters of a simulation. */
 export interface AdmissionLoad {
   readonly seed: number;
-  /** Requests of all callers together. */
+  /** Request rate of all callers together. */
   readonly perSecond: number;
   readonly instances: number;
   readonly servers: number;
   readonly durationMs: number;
-  /** Each instance is started anew this often, and knows nothing then; undefined for never. */
+  /**
+   * Interval between restarts of each instance, which lose all its state; undefined for no
+   * restarts.
+   */
   readonly restartEveryMs?: number;
-  /** Sizes of prompts; documents of some 9,000 tokens where none is given. */
+  /** Sizes of prompts; by default, documents of about 9,000 tokens. */
   readonly sizes?: PromptSizes;
 }
 
-/** Sizes of prompts: log-normal, within bounds. */
+/** Log-normal distribution of prompt sizes, within bounds. */
 export interface PromptSizes {
   readonly medianTokens: number;
   readonly spread: number;
-  readonly fewestTokens: number;
-  readonly mostTokens: number;
+  readonly minTokens: number;
+  readonly maxTokens: number;
 }
 
 const OBJECTIVE_MS = 800;
@@ -62,27 +65,27 @@
   isForwarded: false,
   account: undefined,
 };
-/** Reading of one prompt token, ms, as fast as large accelerators do it. */
+/** Time to read one prompt token, ms: the speed of large accelerators. */
 const READ_MS_PER_TOKEN = 0.02;
-/** What each first byte takes besides: the way there and back, a step of the batch, a slow instance, ms. */
+/** Fixed time of each first byte, ms: the round trip, a step of the batch, delay in the instance. */
 const FIXED_MS = 250;
-/** Time that an answer goes on after its first byte, ms. */
+/** Duration of an answer after its first byte, ms. */
 const ANSWER_MS = 1_000;
-const PATIENCE_MS = 5_000;
+const CALLER_TIMEOUT_MS = 5_000;
 const STEP_MS = 5;
-/** Rest between two statements of the instances to one another, ms. */
-const TELL_EVERY_MS = 100;
+/** Interval between load reports of the instances, ms. */
+const REPORT_INTERVAL_MS = 100;
 const DOCUMENTS: PromptSizes = {
   medianTokens: 9_000,
   spread: 0.45,
-  fewestTokens: 4_000,
-  mostTokens: 36_000,
+  minTokens: 4_000,
+  maxTokens: 36_000,
 };
 const MS_PER_S = 1_000;
 
 type Random = ReturnType<typeof createSeededRandom>;
 
-/** A number with the normal distribution. */
+/** Returns a normally distributed random number. */
 function normal(random: Random): number {
   const radius = Math.sqrt(-2 * Math.log(1 - random.next()));
   return radius * Math.cos(2 * Math.PI * random.next());
@@ -90,10 +93,10 @@
 
 function drawTokens(sizes: PromptSizes, random: Random): number {
   const drawn = sizes.medianTokens * Math.exp(sizes.spread * normal(random));
-  return Math.round(Math.min(sizes.mostTokens, Math.max(sizes.fewestTokens, drawn)));
+  return Math.round(Math.min(sizes.maxTokens, Math.max(sizes.minTokens, drawn)));
 }
 
-/** Time to the first byte of such a prompt at a server that has nothing else to do, ms. */
+/** Returns the time to the first byte of a prompt at an idle server, ms. */
 export function idleFirstByteMs(tokens: number): number {
   return FIXED_MS + tokens * READ_MS_PER_TOKEN;
 }
@@ -139,18 +142,18 @@
   return routes;
 }
 
-interface PlayedInstance {
+interface SimulatedInstance {
   readonly id: string;
   readonly router: Router;
   readonly others: LoadBoard;
 }
 
-/** Instances of one region; `restart` starts one of them anew. */
+/** Creates the instances of one region; `restart` replaces one of them with a new one. */
 function createInstances(load: AdmissionLoad, random: Random) {
   const routes = createRoutes();
   const servers = createServers(load.servers);
   let starts = 0;
-  const start = (): PlayedInstance => {
+  const start = (): SimulatedInstance => {
     const others = createLoadBoard();
     const router = createRouter({
       onRead() {},
@@ -173,8 +176,8 @@
     restart(index: number) {
       all[index] = start();
     },
-    /** Each tells the others what it has under way. */
-    tell(nowMs: number) {
+    /** Sends the work in flight of each instance to all others. */
+    exchangeReports(nowMs: number) {
       for (const { id, router } of all) {
         const statement = { from: id, servers: router.loads.ownWork(), read: [] };
         for (const other of all) if (other.id !== id) other.others.take(statement, nowMs);
@@ -197,8 +200,8 @@
   };
 }
 
-/** Plays one load; the same seed gives the same arrivals. */
-export function playAdmission(load: AdmissionLoad): readonly Arrival[] {
+/** Simulates one load; the same seed gives the same arrivals. */
+export function simulateAdmission(load: AdmissionLoad): readonly Arrival[] {
   const random = createSeededRandom(load.seed);
   const instances = createInstances(load, random);
   let nowMs = 0;
@@ -207,7 +210,7 @@
   const due: { atMs: number; run(): void }[] = [];
   const arrivals: Arrival[] = [];
   let nextAtMs = 0;
-  let toldAtMs = 0;
+  let reportedAtMs = 0;
   let restarts = 0;
 
   const runDue = (): void => {
@@ -217,13 +220,13 @@
     }
   };
 
-  const tellAndRestart = (): void => {
-    if (load.instances > 1 && nowMs - toldAtMs >= TELL_EVERY_MS) {
-      toldAtMs = nowMs;
-      instances.tell(nowMs);
+  const reportAndRestart = (): void => {
+    if (load.instances > 1 && nowMs - reportedAtMs >= REPORT_INTERVAL_MS) {
+      reportedAtMs = nowMs;
+      instances.exchangeReports(nowMs);
     }
     const { restartEveryMs = Infinity } = load;
-    // One after the other, so that each has its turn once in that time.
+    // Instances restart one after the other, each once per interval.
     const restartsDue = Math.floor((nowMs * load.instances) / restartEveryMs);
     for (; restarts < restartsDue; restarts += 1) instances.restart(restarts % load.instances);
   };
@@ -231,30 +234,34 @@
   const arrive = (): void => {
     const tokens = drawTokens(load.sizes ?? DOCUMENTS, random);
     const request = requestOf(arrivals.length, tokens, nowMs);
-    const plan = { ...PLAN, deadlineAtMs: nowMs + PATIENCE_MS, timeoutAtMs: nowMs + PATIENCE_MS };
+    const plan = {
+      ...PLAN,
+      deadlineAtMs: nowMs + CALLER_TIMEOUT_MS,
+      timeoutAtMs: nowMs + CALLER_TIMEOUT_MS,
+    };
     const index = load.instances > 1 ? Math.floor(random.next() * load.instances) : 0;
     const instance = instances.all[index];
-    if (instance === undefined) throw new Error('no instance to ask');
+    if (instance === undefined) throw new Error('no instance to send to');
     const { router } = instance;
     const tried = { ids: new Set<string>(), refusingRegions: new Set<string>() };
     const to = router.choose(request, plan, tried, nowMs);
     if (to.kind !== 'server') {
-      arrivals.push({ tokens, wasLetIn: false, firstByteMs: undefined });
+      arrivals.push({ tokens, wasAdmitted: false, firstByteMs: undefined });
       return;
     }
     const { serverId } = to.server;
     const readAtMs = Math.max(nowMs, readUntilMs.get(serverId) ?? 0) + tokens * READ_MS_PER_TOKEN;
     readUntilMs.set(serverId, readAtMs);
     const firstByteAtMs = readAtMs + FIXED_MS;
-    arrivals.push({ tokens, wasLetIn: true, firstByteMs: firstByteAtMs - nowMs });
+    arrivals.push({ tokens, wasAdmitted: true, firstByteMs: firstByteAtMs - nowMs });
     const observer = observeDestination({ clock, router, request, plan }, to);
-    due.push({ atMs: firstByteAtMs, run: () => observer.noteFirstByte() });
-    due.push({ atMs: firstByteAtMs + ANSWER_MS, run: () => observer.noteEnd('answered') });
+    due.push({ atMs: firstByteAtMs, run: () => observer.recordFirstByte() });
+    due.push({ atMs: firstByteAtMs + ANSWER_MS, run: () => observer.recordEnd('answered') });
   };
 
   for (; nowMs < load.durationMs; nowMs += STEP_MS) {
     runDue();
-    tellAndRestart();
+    reportAndRestart();
     while (nextAtMs <= nowMs) {
       nextAtMs += (-Math.log(1 - random.next()) * MS_PER_S) / load.perSecond;
       arrive();
@@ -263,20 +270,20 @@
   return arrivals;
 }
 
-/** Arrivals by size: the largest tenth, and the fifth below it. */
-export function bySize(arrivals: readonly Arrival[]) {
+/** Returns the largest tenth of the arrivals, and the fifth below it. */
+export function splitBySize(arrivals: readonly Arrival[]) {
   const sorted = [...arrivals].sort((left, right) => right.tokens - left.tokens);
   const tenth = Math.ceil(arrivals.length / 10);
   return { largestTenth: sorted.slice(0, tenth), fifthBelow: sorted.slice(tenth, 3 * tenth) };
 }
 
-/** Share of arrivals that were let in. */
-export function shareLetIn(arrivals: readonly Arrival[]): number {
-  return arrivals.filter(({ wasLetIn }) => wasLetIn).length / Math.max(1, arrivals.length);
+/** Returns the share of arrivals that were admitted. */
+export function admittedShare(arrivals: readonly Arrival[]): number {
+  return arrivals.filter(({ wasAdmitted }) => wasAdmitted).length / Math.max(1, arrivals.length);
 }
 
-/** Share of arrivals whose first byte came within the objective. */
-export function shareInTime(arrivals: readonly Arrival[]): number {
+/** Returns the share of arrivals whose first byte came within the objective. */
+export function inTimeShare(arrivals: readonly Arrival[]): number {
   const inTime = arrivals.filter(({ firstByteMs = Infinity }) => firstByteMs <= OBJECTIVE_MS);
   return inTime.length / Math.max(1, arrivals.length);
 }
--- a/src/core/pass-through/types.ts
+++ b/src/core/pass-through/types.ts
@@ -2,127 +2,150 @@
 import type { RouteKind } from '../host-routes';
 import type { LoadReport, ModelDemand } from '../placement';
 
-/** The header names that callers and backend servers use, and how those with a form of their own are read. */
+/**
+ * Names of the headers that callers and backend servers use, and parsers for the headers whose
+ * values have a format of their own.
+ */
 export interface HeaderDialect {
-  /** Names a request; backend servers repeat it in their answer. */
+  /** Identifies a request; backend servers repeat it in their answer. */
   readonly requestId: string;
-  /** A caller's key, which is never passed on. */
+  /** Key of the caller's client account; never passed on. */
   readonly accountKey: string;
-  /** Tells a backend server whose request it runs. */
+  /** Names the client account of a request to the backend server. */
   readonly accountName: string;
-  /** Time that the caller still waits, ms. */
+  /** Time until the caller gives up, ms. */
   readonly timeLeftMs: string;
-  /** The backend server that alone may run the request. */
+  /** Id of the only backend server that may run the request. */
   readonly targetServer: string;
-  /** Present where a backend server says that it did not run the request. */
+  /** Present if the backend server states that it did not run the request. */
   readonly notRun: string;
-  /** Present on each answer that a backend server made by running the request. */
+  /** Present on every answer that a backend server produced by running the request. */
   readonly signature: string;
-  /** Urgency at the backend server; 0 is the most urgent. */
+  /** Priority of the request at the backend server; 0 is the most urgent. */
   readonly priority: string;
-  /** A backend server's load. */
+  /** Load that a backend server reports. */
   readonly load: string;
-  /** Time for which a backend server is still cold, ms, in its answers to health checks. */
+  /**
+   * Time for which a backend server remains cold, ms; sent in answers to health checks. A server is
+   * cold for a while after its start; while cold, it handles few requests per second.
+   */
   readonly coldForMs: string;
-  /** Address of the backend server from whose cache the one that gets the request is to copy its prompt. */
+  /** Address of the backend server from whose cache the receiving server copies the prompt. */
   readonly copyPromptFrom: string;
-  /** Set by this system alone; dropped where a caller sends them. */
+  /** Headers that only the gateway sets; they are dropped from callers' requests. */
   readonly systemOnly: ReadonlySet<string>;
-  /** What a request asks of a model; undefined where it does not say. */
+  /** Returns the demand of a request on a model; undefined if the headers do not state it. */
   readDemand(headers: HeaderMap): ModelDemand | undefined;
-  /** Tokens of a request's prompt and of the longest answer that it asks for, together. */
+  /**
+   * Returns the tokens of a request's prompt plus the maximum tokens of the answer that it
+   * requests.
+   */
   readTokenCount(headers: HeaderMap): TokenCount;
   readLoadReport(text: string): LoadReport | undefined;
 }
 
-/** How many tokens a request says that it asks for. */
+/** Number of tokens that a request states. */
 export type TokenCount =
   | { readonly kind: 'unstated' }
   | { readonly kind: 'stated'; readonly tokens: number }
   | { readonly kind: 'malformed' };
 
-/** A request that has been read whole. */
+/** A request whose headers and body have been read completely. */
 export interface InboundRequest {
   readonly requestId: string;
   readonly method: string;
-  /** Path with its query, as sent. */
+  /** Path including the query, as sent. */
   readonly path: string;
-  /** Names and values by turns, those that concern one connection left out. */
+  /** Alternating names and values, without hop-by-hop headers. */
   readonly headers: readonly string[];
   readonly body: Uint8Array;
-  /** When it came, monotonic ms: before it was read, where the process was behind. */
+  /** Time of arrival, monotonic ms. Earlier than the time of reading if the event loop was late. */
   readonly receivedAtMs: number;
-  /** Last event that the caller has of a stream that it resumes. */
+  /** Id of the last event that the caller received of a stream that it resumes. */
   readonly lastEventId: string | undefined;
   readonly demand: ModelDemand | undefined;
 }
 
-/** What the route in force says of one request. It goes along when another instance serves the request. */
+/**
+ * Settings of one request, from the route in force. They are sent along when another instance
+ * serves the request.
+ */
 export interface RequestPlan {
   readonly route: string;
-  /** Name of the account that sent it; undefined where nobody has to be known. */
+  /** Name of the client account that sent the request; undefined if it has none. */
   readonly account: string | undefined;
   readonly service: string;
   readonly kind: RouteKind;
   readonly isResumable: boolean;
   readonly priority: number;
   readonly objectiveMs: number;
-  /** Longest pause between two events of a stream that is still in time, ms; undefined where any is. */
+  /**
+   * Objective for the longest pause between two events of a stream, ms; undefined if there is none.
+   */
   readonly pauseObjectiveMs: number | undefined;
-  /** Backend servers to which it may be sent. */
+  /** Maximum number of backend servers that the request may be sent to. */
   readonly maxAttempts: number;
   readonly homeRegions: readonly string[];
-  /** Version of the routes that it was made from. */
+  /** Version of the routes that the plan was made from. */
   readonly routesVersion: number;
-  /** When the caller gives up, monotonic ms. */
+  /** Time at which the caller gives up, monotonic ms. */
   readonly deadlineAtMs: number;
-  /** When the route's timeout ends, monotonic ms. */
+  /** End of the route's timeout, monotonic ms. */
   readonly timeoutAtMs: number;
-  /** Whether another instance sent it here, so that it may not be sent on. */
+  /** Whether another instance forwarded the request, so that it must not be forwarded again. */
   readonly isForwarded: boolean;
 }
 
-/** What one request has been through, so that it is not sent there again. */
+/** Destinations that a request has been sent to or refused by, so that it is not sent there again. */
 export interface TriedDestinations {
-  /** Backend servers, and instances of other regions. */
+  /** Ids of backend server incarnations, and of instances of other regions. */
   readonly ids: ReadonlySet<string>;
-  /** Regions that refused it: their other instances would look at the same servers. */
+  /**
+   * Regions that refused the request. Their other instances are skipped, since they choose among
+   * the same servers.
+   */
   readonly refusingRegions: ReadonlySet<string>;
 }
 
-/** Where an answer is written to. */
+/** Writes the answer to one request. */
 export interface ClientAnswer {
   readonly headSent: boolean;
-  /** Says how many backend servers the request has been sent to; another instance is told with the head. */
-  noteAttempts(count: number): void;
+  /**
+   * Records how many backend servers the request has been sent to. Another instance gets the count
+   * with the head.
+   */
+  recordAttempts(count: number): void;
   sendHead(status: number, headers: HeaderMap): void;
-  /** False when the reader is slow; `onDrain` is called when it has caught up. */
+  /** Returns false if the client reads too slowly; wait for `onDrain` before sending more. */
   sendData(chunk: Uint8Array): boolean;
   end(): void;
-  /** Ends the connection, so that the answer does not look whole. */
-  breakOff(): void;
-  /** Refuses a request whose head has not been sent. */
+  /**
+   * Closes the connection before the end of the answer, so that the answer cannot be taken for
+   * complete.
+   */
+  closeIncomplete(): void;
+  /** Sends a refusal; only allowed before the head has been sent. */
   refuse(refusal: Refusal): void;
   onDrain(callback: () => void): void;
 }
 
-/** Why no answer of a backend server is passed on. */
+/** Reason why the caller gets no answer of a backend server. */
 export type RefusalReason =
   | 'noRoutesYet'
   | 'noSuchRoute'
   | 'unknownKey'
-  /** Its route and its account may be handled in no region in common. */
+  /** The home regions of its route and of its client account have no region in common. */
   | 'noRegion'
-  /** Its account has spent its quota. */
+  /** The client account has used up its quota. */
   | 'overQuota'
-  /** Nobody who counts what its account spends can be reached. */
+  /** No instance that counts the usage of the client account can be reached. */
   | 'quotaUnknown'
   | 'headersTooLarge'
   | 'bodyTooLarge'
   | 'malformedRequest'
   | 'noServer'
   | 'overloaded'
-  /** This instance itself has more to do than it gets processor time for. */
+  /** This instance gets too little processor time for its requests. */
   | 'instanceBehind'
   | 'stopping'
   | 'suspectedOfCrashes'
@@ -130,11 +153,11 @@
   | 'serverFailed'
   | 'timedOut';
 
-/** What a caller is told in place of an answer. */
+/** Refusal that a caller gets instead of an answer. */
 export interface Refusal {
   readonly reason: RefusalReason;
-  /** Whether the request provably has not run and never will. */
+  /** `notRun` if the request provably has not run and never will. */
   readonly outcome: 'notRun' | 'unknown';
-  /** When to come back, where that makes sense, ms. */
+  /** Time after which the caller may retry, ms; undefined if a retry makes no sense. */
   readonly retryAfterMs: number | undefined;
 }
--- a/src/core/pass-through/warm-check.ts
+++ b/src/core/pass-through/warm-check.ts
@@ -2,67 +2,77 @@
 import type { AnswerHead, ConnectionPool, Exchange } from '../exchanges';
 import type { RouteTableStore } from '../host-routes';
 import type { KnownServer, ServerRegistry } from '../server-registry';
-import { MISDIRECTED, headerText } from './judge-answer';
+import { MISDIRECTED_STATUS, headerText } from './judge-answer';
 import type { HeaderDialect } from './types';
 
-/** Asks servers whether they are cold, where nothing that is published would tell. */
+/** Checks with servers themselves whether they are cold, when the published state may not show it. */
 export interface WarmCheck {
-  /** Whether a server has to be asked before it is given a request. */
+  /** Whether a server must be checked before it gets a request. */
   isNeeded(server: KnownServer): boolean;
-  /** Notes that a server may have crashed: it may have started again since, cold, under the id that it had. */
-  noteDoubt(server: KnownServer): void;
-  /** Forgets the starts of servers that are not among those given. */
+  /** Records that a server may have crashed. It may have restarted since, cold, under the same id. */
+  markSuspect(server: KnownServer): void;
+  /** Drops the records of all server incarnations except the given ones. */
   keepOnly(incarnationIds: ReadonlySet<string>): void;
-  /** Asks a server; aborting ends the check, and its result still comes. */
+  /** Sends a check to a server. Aborting ends the check; its result is still reported. */
   ask(
     server: KnownServer,
-    mostConnections: number,
-    onResult: (result: WarmResult) => void,
+    maxConnections: number,
+    onResult: (result: WarmCheckResult) => void,
   ): Pick<Exchange, 'abort'>;
 }
 
-/** What a server said. */
-export type WarmResult =
+/** Result of a check. */
+export type WarmCheckResult =
   | { readonly kind: 'warm' }
   | { readonly kind: 'cold' }
-  /** Another server has its address now. */
+  /** Another server uses its address now. */
   | { readonly kind: 'replaced' }
-  /** Nothing came; nothing but the check has been sent. */
+  /** No answer arrived; nothing but the check has been sent. */
   | { readonly kind: 'unanswered'; readonly reason: string };
 
-/** What the check is made from. */
+/** Options of `createWarmCheck`. */
 export interface WarmCheckOptions {
   readonly clock: Clock;
   readonly dialect: HeaderDialect;
   readonly pool: ConnectionPool;
   readonly routes: RouteTableStore;
   readonly servers: ServerRegistry;
-  /** Monotonic time since which all that is published has been followed; undefined while it is not. */
+  /**
+   * Returns the monotonic time since which all published state has been followed; undefined while
+   * it is not.
+   */
   readonly followedSinceMs: () => number | undefined;
 }
 
-/** Time for a connection to a server of this region; several round trips within a region. */
+/** Connect timeout for a server of this region: several round trips within a region. */
 const CONNECT_TIMEOUT_MS = 500;
-/** Time for an answer: a check waits for a slot like any request, and takes one for a millisecond. */
+/** Timeout for an answer: a check waits for a slot like any request, and uses it for a millisecond. */
 const ANSWER_TIMEOUT_MS = 400;
-/** A check may be repeated, so that a kept connection which breaks just now does no harm, ms. */
-const MOST_IDLE_MS = 60_000;
+/**
+ * Maximum idle time of a reused connection, ms. A check may be repeated, so a connection that
+ * breaks does no harm.
+ */
+const MAX_IDLE_MS = 60_000;
 
 /**
- * A check that has asked nobody.
+ * Creates a check that sends health checks to servers that may have become cold unnoticed.
  *
- * A failure domain may be evacuated and taken back while nothing that is published can be read here. Its servers come
- * back cold, this instance knows nothing of it, and together the instances send each of them more than it bears: it
- * crashes with all that it runs. One notices servers that crash a moment after each outage of the source. So while
- * what is published is not followed, and until servers that became cold meanwhile are warm again, each request waits
- * for the server's own answer first. That costs a round trip within the region, and no more checks than requests.
+ * A failure domain may be evacuated and put back into service while the published state cannot be
+ * read here. Its servers return cold without this instance knowing, and the instances together send
+ * each of them more than a cold server can handle, so that it crashes with all its requests. The
+ * symptom is servers that crash a moment after each outage of the source of the published state. So
+ * while that state is not followed, and until servers that became cold meanwhile are warm again,
+ * each request waits for the server's own answer to a check. That costs one round trip within the
+ * region, and at most one check per attempt.
  *
- * A server that crashed may be back under its id before its announcement says so. The id in a request no longer tells
- * the two starts apart, so one that broke a connection is asked as well, once, before it is given a request.
+ * A server that crashed may be back under its id before its announcement shows it. The id in a
+ * request then does not distinguish the two incarnations, so a server that broke a connection is
+ * also checked, once, before it gets a request.
  */
 export function createWarmCheck(options: WarmCheckOptions): WarmCheck {
   const { clock, dialect, pool, routes, servers } = options;
-  const doubted = new Set<string>();
+  /** Ids of server incarnations that may have crashed and restarted. */
+  const suspectIds = new Set<string>();
   const serviceOf = ({ service }: KnownServer) => routes.current()?.table.services.get(service);
 
   const coldForMs = ({ headers }: AnswerHead): number => {
@@ -76,20 +86,21 @@
       const service = serviceOf(server);
       const nowMs = clock.monotonicMs();
       if (service === undefined || service.coldRequestsPerSecond <= 0) return false;
-      // One that is known to be cold is sent to at the rate that it bears already.
+      // A server that is known to be cold already gets requests only at the rate that it can
+      // handle.
       if (server.coldUntilMs > nowMs) return false;
-      if (doubted.has(server.incarnationId)) return true;
+      if (suspectIds.has(server.incarnationId)) return true;
       const sinceMs = options.followedSinceMs();
       return sinceMs === undefined || nowMs - sinceMs < service.coldStartMs;
     },
-    noteDoubt(server) {
-      doubted.add(server.incarnationId);
+    markSuspect(server) {
+      suspectIds.add(server.incarnationId);
     },
     keepOnly(incarnationIds) {
-      for (const id of doubted) if (!incarnationIds.has(id)) doubted.delete(id);
+      for (const id of suspectIds) if (!incarnationIds.has(id)) suspectIds.delete(id);
     },
-    ask(server, mostConnections, onResult) {
-      let result: WarmResult | undefined;
+    ask(server, maxConnections, onResult) {
+      let result: WarmCheckResult | undefined;
       let exchange: Exchange | undefined;
       const deadline = clock.schedule(clock.monotonicMs() + ANSWER_TIMEOUT_MS, () =>
         exchange?.abort('timeout'),
@@ -97,9 +108,9 @@
       exchange = pool.send(
         server.address,
         {
-          mostConnections,
+          mostConnections: maxConnections,
           connectTimeoutMs: CONNECT_TIMEOUT_MS,
-          mostIdleMs: MOST_IDLE_MS,
+          mostIdleMs: MAX_IDLE_MS,
         },
         {
           method: 'GET',
@@ -109,15 +120,16 @@
         },
         {
           onHead(head) {
-            if (head.status === MISDIRECTED) {
+            if (head.status === MISDIRECTED_STATUS) {
               result = { kind: 'replaced' };
               return;
             }
-            doubted.delete(server.incarnationId);
-            const forMs = coldForMs(head);
-            if (forMs > 0) servers.noteCold(server.serverId, clock.monotonicMs() + forMs);
-            // What else the answer says is not asked for: servers may be healthy and say otherwise.
-            result = { kind: forMs > 0 ? 'cold' : 'warm' };
+            suspectIds.delete(server.incarnationId);
+            const coldMs = coldForMs(head);
+            if (coldMs > 0) servers.noteCold(server.serverId, clock.monotonicMs() + coldMs);
+            // The rest of the answer is ignored: a server may be healthy although its answer says
+            // otherwise.
+            result = { kind: coldMs > 0 ? 'cold' : 'warm' };
           },
           onData() {},
           onEnd(end) {
