--- a/src/core/client-directory/choose-addresses.ts
+++ b/src/core/client-directory/choose-addresses.ts
@@ -1,52 +1,52 @@
-/** One instance that callers may be sent to. */
+/** Instance that callers may be directed to. */
 export interface DirectoryEntry {
   readonly callerAddress: string;
   readonly region: string;
   readonly failureDomain: string;
 }
 
-/** Where a caller asks from. */
-export interface CallerPlace {
+/** Location from which a caller sends requests; undefined parts are unknown. */
+export interface CallerLocation {
   readonly region: string | undefined;
   readonly failureDomain: string | undefined;
 }
 
-/** Addresses that one answer holds; callers spread over them at random. */
-const MOST_ADDRESSES = 64;
+/** Maximum number of addresses in one answer; callers choose among them at random. */
+const MAX_ADDRESSES = 64;
 
-/** Who could be named. */
+/** Instances to choose from, and the home regions of the host. */
 export interface DirectoryView {
   readonly alive: readonly DirectoryEntry[];
-  /** Instances in a planned stop; they still answer, with a refusal at worst. */
+  /** Instances in a planned stop; they still answer requests, though perhaps with a refusal. */
   readonly leaving: readonly DirectoryEntry[];
-  /** Regions in which most of what the host serves may be; empty where it is bound to none. */
+  /** Regions that are home to the largest number of the host's restricted routes; empty if none is restricted. */
   readonly homeRegions: readonly string[];
 }
 
 /**
- * The instances that a caller is to use: those of its region; where it has none, those of the host's home regions;
- * where there are none either, those of the same regions that are leaving; and all others only when there is
- * nobody else.
+ * Returns the addresses of the instances that a caller should use. The first of these groups that is not empty is used:
+ * live instances of the caller's region; live instances of the host's home regions; if the host has home regions,
+ * leaving instances of the caller's region; leaving instances of the home regions; all live instances.
  *
- * An instance in another region costs a long round trip on each request, and a request that is bound to some
- * regions should not even be read in another one. When all instances of a region are replaced one after the
- * other, there are moments in which each of them is leaving; they serve for some seconds more, while one in a
- * region that is no home could pass nothing on. Within a region all are named, also those of other failure
- * domains: a fraction of a ms more is less than what a single full instance costs.
+ * An instance in another region adds a long round trip to each request, and a request that is restricted to some
+ * regions should not even be read in another one. While all instances of a region are replaced one after the other,
+ * there are moments at which each of them is leaving. They still serve for some seconds, whereas an instance outside
+ * the home regions could not forward the request at all. Within a region, instances of all failure domains are
+ * returned: the additional fraction of a millisecond costs less than a single overloaded instance.
  */
 export function chooseAddresses(
   { alive, leaving, homeRegions }: DirectoryView,
-  place: CallerPlace,
+  location: CallerLocation,
 ): readonly string[] {
-  const isNear = (entry: DirectoryEntry) => entry.region === place.region;
-  const isAtHome = (entry: DirectoryEntry) => homeRegions.includes(entry.region);
+  const isInCallerRegion = (entry: DirectoryEntry) => entry.region === location.region;
+  const isInHomeRegion = (entry: DirectoryEntry) => homeRegions.includes(entry.region);
   const groups = [
-    alive.filter(isNear),
-    alive.filter(isAtHome),
-    homeRegions.length === 0 ? [] : leaving.filter(isNear),
-    leaving.filter(isAtHome),
+    alive.filter(isInCallerRegion),
+    alive.filter(isInHomeRegion),
+    homeRegions.length === 0 ? [] : leaving.filter(isInCallerRegion),
+    leaving.filter(isInHomeRegion),
     alive,
   ];
   const chosen = groups.find((group) => group.length > 0) ?? [];
-  return chosen.slice(0, MOST_ADDRESSES).map((entry) => entry.callerAddress);
+  return chosen.slice(0, MAX_ADDRESSES).map((entry) => entry.callerAddress);
 }
--- a/src/core/client-directory/client-directory.test.ts
+++ b/src/core/client-directory/client-directory.test.ts
@@ -10,31 +10,31 @@
 
 const VIEW = { alive: ENTRIES, leaving: [], homeRegions: [] };
 
-describe('the instances that a caller is told', () => {
-  it('are those of its region, of all failure domains', () => {
-    const place = { region: 'north', failureDomain: 'north-a' };
-    assert.deepEqual(chooseAddresses(VIEW, place), ['n1', 'n2']);
+describe('the instances returned to a caller', () => {
+  it('are those of its region, in all failure domains', () => {
+    const location = { region: 'north', failureDomain: 'north-a' };
+    assert.deepEqual(chooseAddresses(VIEW, location), ['n1', 'n2']);
   });
 
-  // All instances of a region are gone. Its callers are served from elsewhere rather than not at all.
-  it('are all others where its region has none', () => {
-    const place = { region: 'east', failureDomain: 'east-a' };
-    assert.deepEqual(chooseAddresses(VIEW, place), ['n1', 'n2', 's1']);
+  // If a region has no instances, its callers are served from other regions rather than not at all.
+  it('are those of all regions if its region has none', () => {
+    const location = { region: 'east', failureDomain: 'east-a' };
+    assert.deepEqual(chooseAddresses(VIEW, location), ['n1', 'n2', 's1']);
   });
 
-  // Two machines of a region are replaced at once. Its callers' data may be in the north but not in the south,
-  // and an instance that is named to them reads it.
-  it('are those of regions in which its data may be, where its region has none', () => {
-    const place = { region: 'east', failureDomain: undefined };
+  // Two machines of a region are replaced at once. The data of its callers may be read in the north but not in the
+  // south, and an instance reads the data of each request that it receives.
+  it('are those of the home regions if its region has none', () => {
+    const location = { region: 'east', failureDomain: undefined };
     const inNorth = { ...VIEW, homeRegions: ['north', 'east'] };
-    assert.deepEqual(chooseAddresses(inNorth, place), ['n1', 'n2']);
+    assert.deepEqual(chooseAddresses(inNorth, location), ['n1', 'n2']);
     const inWest = { ...VIEW, homeRegions: ['west'] };
-    assert.deepEqual(chooseAddresses(inWest, place), ['n1', 'n2', 's1']);
+    assert.deepEqual(chooseAddresses(inWest, location), ['n1', 'n2', 's1']);
   });
 
-  // All machines are replaced one after the other, each taking seconds to go. For a moment all instances of the
-  // home regions are leaving, and the only other one is where the data may not be.
-  it('are those that are leaving rather than one where its data may not be', () => {
+  // All machines are replaced one after the other, and each takes seconds to stop. For a moment all instances of the
+  // home regions are leaving, and the only other one is in a region where the data must not be read.
+  it('are leaving ones of the home regions rather than live ones outside them', () => {
     const [n1, n2, s1] = ENTRIES;
     const rolling = {
       alive: s1 === undefined ? [] : [s1],
@@ -48,13 +48,13 @@
     assert.deepEqual(chooseAddresses({ ...rolling, homeRegions: [] }, inNorth), ['s1']);
   });
 
-  it('are a bounded number', () => {
+  it('are limited in number', () => {
     const many = Array.from({ length: 100 }, (_unused, index) => ({
       callerAddress: `n${index}`,
       region: 'north',
       failureDomain: 'north-a',
     }));
-    const place = { region: 'north', failureDomain: undefined };
-    assert.equal(chooseAddresses({ ...VIEW, alive: many }, place).length, 64);
+    const location = { region: 'north', failureDomain: undefined };
+    assert.equal(chooseAddresses({ ...VIEW, alive: many }, location).length, 64);
   });
 });
--- a/src/core/client-directory/index.ts
+++ b/src/core/client-directory/index.ts
@@ -1,3 +1,3 @@
-/** Tells callers which instances to use. */
+/** Chooses the instances that a caller should use. */
 export { chooseAddresses } from './choose-addresses';
-export type { CallerPlace, DirectoryEntry, DirectoryView } from './choose-addresses';
+export type { CallerLocation, DirectoryEntry, DirectoryView } from './choose-addresses';
--- a/src/core/gossip/create-gossip-board.ts
+++ b/src/core/gossip/create-gossip-board.ts
@@ -3,23 +3,23 @@
 import type { ChangeLog } from '../change-log';
 import type { GossipBoard, GossipEntry, GossipTopic } from './types';
 
-/** A board with its other side: what membership's messages carry. */
+/** Gossip board including the operations that membership uses to exchange statements with peers. */
 export interface GossipStore extends GossipBoard {
-  /** Takes in statements that came from a peer, and passes the new ones on to the others. */
+  /** Stores statements received from a peer and forwards new ones to other peers. */
   receive(entries: readonly GossipEntry[], learnedFrom?: string): void;
-  /** Drops statements that have expired. */
-  forgetExpired(): void;
-  /** Statements in the order in which they were made or learned. */
+  /** Removes expired statements. */
+  removeExpired(): void;
+  /** Statements in the order in which they were made or received. */
   readonly log: ChangeLog<GossipEntry>;
 }
 
 /**
- * Longest life that is taken from a peer. A clock that runs far ahead would otherwise leave statements behind
- * that nobody forgets. A week is more than any slice asks for.
+ * Maximum TTL of a statement that is accepted from a peer, ms. Without a limit, an instance whose clock runs far ahead
+ * would leave statements behind that never expire. A week exceeds the TTLs that any component uses.
  */
-const LONGEST_LIFE_MS = 7 * 86_400_000;
+const MAX_TTL_MS = 7 * 86_400_000;
 
-/** An empty board of one instance. */
+/** Creates an empty gossip board for the instance `ownInstanceId`. */
 export function createGossipBoard(ownInstanceId: string, clock: Clock): GossipStore {
   const entries = new Map<string, GossipEntry>();
   const listeners = new Map<GossipTopic, Set<(entry: GossipEntry) => void>>();
@@ -27,7 +27,7 @@
 
   const keyOf = ({ topic, key, origin }: GossipEntry) => `${topic}\n${key}\n${origin}`;
 
-  const keepIfNewer = (entry: GossipEntry, learnedFrom: string | undefined): boolean => {
+  const storeIfNewer = (entry: GossipEntry, learnedFrom: string | undefined): boolean => {
     const key = keyOf(entry);
     const known = entries.get(key);
     if (known !== undefined && known.version >= entry.version) return false;
@@ -37,17 +37,17 @@
   };
 
   const isAcceptable = ({ origin, expiresAtUnixMs }: GossipEntry): boolean => {
-    const lifeMs = expiresAtUnixMs - clock.unixMs();
-    return origin !== ownInstanceId && lifeMs > 0 && lifeMs <= LONGEST_LIFE_MS;
+    const ttlMs = expiresAtUnixMs - clock.unixMs();
+    return origin !== ownInstanceId && ttlMs > 0 && ttlMs <= MAX_TTL_MS;
   };
 
   return {
     log,
     put(statement) {
       const previous = entries.get(keyOf({ ...statement, origin: ownInstanceId, version: 0 }));
-      // Starting from the time keeps a restarted instance ahead of what its former self said.
+      // Versions start at the current time, so that a restarted instance supersedes its earlier statements.
       const version = Math.max((previous?.version ?? 0) + 1, clock.unixMs());
-      keepIfNewer({ ...statement, origin: ownInstanceId, version }, undefined);
+      storeIfNewer({ ...statement, origin: ownInstanceId, version }, undefined);
     },
     entries(topic) {
       const nowUnixMs = clock.unixMs();
@@ -56,23 +56,23 @@
       );
     },
     onEntry(topic, listener) {
-      const ofTopic = listeners.get(topic) ?? new Set();
-      listeners.set(topic, ofTopic);
-      ofTopic.add(listener);
+      const topicListeners = listeners.get(topic) ?? new Set();
+      listeners.set(topic, topicListeners);
+      topicListeners.add(listener);
       return {
         [Symbol.dispose]() {
-          ofTopic.delete(listener);
+          topicListeners.delete(listener);
         },
       };
     },
     receive(received, learnedFrom) {
       for (const entry of received) {
-        if (isAcceptable(entry) && keepIfNewer(entry, learnedFrom)) {
+        if (isAcceptable(entry) && storeIfNewer(entry, learnedFrom)) {
           listeners.get(entry.topic)?.forEach((listener) => listener(entry));
         }
       }
     },
-    forgetExpired() {
+    removeExpired() {
       const nowUnixMs = clock.unixMs();
       for (const [key, entry] of entries) {
         if (entry.expiresAtUnixMs <= nowUnixMs) {
--- a/src/core/gossip/gossip.test.ts
+++ b/src/core/gossip/gossip.test.ts
@@ -7,7 +7,7 @@
 
 const REGIONS = ['a', 'b', 'c', 'd'];
 
-/** Four regions with two instances each. */
+/** Starts four regions with two instances each. */
 function startFleet(fleet: VirtualFleet): void {
   for (const region of REGIONS) {
     for (const number of [1, 2]) {
@@ -38,7 +38,7 @@
     .map(({ instanceId }) => instanceId)
     .sort();
 
-describe('statements between instances', () => {
+describe('gossip statements', () => {
   it('reach every instance within seconds', () =>
     withFleet(async (fleet) => {
       fleet.get('c-2').gossip.put({
@@ -52,9 +52,9 @@
       assert.equal(holders(fleet).length, REGIONS.length * 2);
     }));
 
-  // A statement about a caller's data must not leave the caller's regions, however short the way through
-  // another region would be.
-  it('stay within the regions that they may reach, and reach all of those', () =>
+  // A statement about a caller's data must not leave the caller's regions, even if the path through another region
+  // would be shorter.
+  it('reach all of their allowed regions and no others', () =>
     withFleet(async (fleet) => {
       fleet.get('a-1').gossip.put({
         topic: 'poisonFingerprints',
@@ -67,7 +67,7 @@
       assert.deepEqual(holders(fleet), ['a-1', 'a-2', 'c-1', 'c-2']);
     }));
 
-  it('are forgotten by all once they expire', () =>
+  it('are removed everywhere once they expire', () =>
     withFleet(async (fleet) => {
       fleet.get('a-1').gossip.put({
         topic: 'poisonFingerprints',
@@ -82,9 +82,9 @@
       assert.deepEqual(sizes, Array(REGIONS.length * 2).fill(0));
     }));
 
-  // A slice makes far more statements than the links have room for. Membership's own news, and the requests
-  // on the same links, must not wait behind them.
-  it('never fill the messages: a crash is noticed while thousands of statements wait', () =>
+  // A component makes far more statements than the network links can carry. Updates of membership, and the requests on
+  // the same links, must not wait behind them.
+  it('do not delay the detection of a crash while thousands of them are queued', () =>
     withFleet(async (fleet) => {
       const { gossip } = fleet.get('a-1');
       for (let index = 0; index < 5_000; index += 1) {
@@ -104,8 +104,8 @@
       assert.ok(perSecond < 10_000, `${perSecond} bytes/s`);
     }));
 
-  // A machine's clock is years ahead; what it says would stay for ever.
-  it('are refused when they would live longer than a week', () => {
+  // If a machine's clock is years ahead, its statements would never expire.
+  it('are rejected if their TTL exceeds a week', () => {
     const clock = createFakeClock();
     const board = createGossipBoard('a-1', clock);
     const entry = {
--- a/src/core/gossip/types.ts
+++ b/src/core/gossip/types.ts
@@ -1,32 +1,32 @@
-/** What instances tell one another beside their membership. */
+/** Topic of a gossip statement. */
 export type GossipTopic = 'callerShares' | 'poisonFingerprints' | 'serverMarks';
 
-/** One small statement on its way through the fleet. */
+/** Gossip statement as stored and sent, including its origin and version. */
 export interface GossipEntry {
   readonly topic: GossipTopic;
-  /** What the statement is about, for example a caller id; unique with topic and origin. */
+  /** Subject of the statement, for example a caller id; unique together with topic and origin. */
   readonly key: string;
   /** Instance that made the statement. */
   readonly origin: string;
-  /** Rises with each statement of one origin about one key; the highest stands. */
+  /** Increases with each statement of one origin about one key; the highest version is valid. */
   readonly version: number;
-  /** Regions that may learn of it; undefined means all. */
+  /** Regions that may receive the statement; undefined means all. */
   readonly regions: readonly string[] | undefined;
-  /** After this everyone forgets it. */
+  /** Time after which all instances remove the statement. */
   readonly expiresAtUnixMs: number;
-  /** JSON of a shape that the topic's slice owns and checks with its own schema; a few hundred bytes at most. */
+  /** JSON whose schema is defined and validated by the component that owns the topic; a few hundred bytes at most. */
   readonly payload: string;
 }
 
-/** A statement as its author makes it; origin and version are filled in. */
+/** Statement as passed to {@link GossipBoard.put}, which adds origin and version. */
 export type GossipStatement = Omit<GossipEntry, 'origin' | 'version'>;
 
-/** Statements of this instance and of all others. */
+/** Stores the gossip statements of this instance and of all others. */
 export interface GossipBoard {
-  /** Makes a statement, replacing this instance's last one on the same topic and key. */
+  /** Publishes a statement, replacing the previous one of this instance with the same topic and key. */
   put(statement: GossipStatement): void;
-  /** All statements on a topic that have not expired. */
+  /** Returns all statements on a topic that have not expired. */
   entries(topic: GossipTopic): readonly GossipEntry[];
-  /** Calls back for each new statement of another instance. */
+  /** Calls back for each new statement received from another instance. */
   onEntry(topic: GossipTopic, listener: (entry: GossipEntry) => void): Disposable;
 }
--- a/src/core/hashing/index.ts
+++ b/src/core/hashing/index.ts
@@ -1,11 +1,11 @@
-/** Small fast hashes for ordering and comparing; never for secrets. */
+/** Small, fast, non-cryptographic hashes for ordering and comparing; never use them for secrets. */
 
 /* eslint-disable no-bitwise -- the hash is defined on 32-bit words */
 
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
-/** FNV-1a over the text's UTF-16 units with a final mix, as an unsigned 32-bit number. */
+/** Returns the FNV-1a hash of the text's UTF-16 code units with a final mix, as an unsigned 32-bit number. */
 export function hashText(text: string): number {
   let hash = FNV_OFFSET;
   for (let index = 0; index < text.length; index += 1) {
@@ -16,7 +16,7 @@
   return (hash ^ (hash >>> 16)) >>> 0;
 }
 
-/** Exclusive or of two unsigned 32-bit numbers: a digest of a set that is kept up to date member by member. */
+/** Returns the exclusive or of two unsigned 32-bit numbers; used to update the digest of a set member by member. */
 export function xorHashes(left: number, right: number): number {
   return (left ^ right) >>> 0;
 }
--- a/src/core/membership/choose-partners.ts
+++ b/src/core/membership/choose-partners.ts
@@ -1,53 +1,56 @@
 import { hashText } from '../hashing';
 
 /**
- * Whom an instance exchanges with. With everyone, an instance's bytes and processor time would grow with the
- * fleet; with partners drawn at random, some draws leave an instance that nobody watches, and one whose death
- * nobody notices keeps being given work. Here all instances stand on rings ordered by a hash of their names,
- * and each takes its next ones: so many watch each, whatever the size.
+ * Choice of the partners with which an instance exchanges messages.
  *
- * The graph hangs together whenever views agree: the ring of a failure domain joins its members; along the
- * ring of a region each run of one domain is joined to the next run; along the ring of the fleet likewise the
- * regions. `next in another domain` is a ring edge for the last of each run, which is all it takes.
+ * Exchanging with every instance would make traffic and CPU time grow with the fleet. Partners drawn at random can
+ * leave an instance that no other one watches; if it dies, it keeps receiving work, since its death is not detected.
+ * Instead, all instances are placed on rings ordered by a hash of their ids, and each one takes its successors as
+ * partners. The number of instances that watch another one therefore does not depend on the size of the fleet.
+ *
+ * The graph of partners is connected whenever views agree. The ring of a failure domain connects its members. On the
+ * ring of a region, each run of instances of one failure domain is connected to the next run, and on the ring of the
+ * fleet the regions are connected in the same way. It is enough that the last instance of each run has an edge to
+ * its successor on the ring, which is its next instance in another failure domain.
  */
 
-/** What the choice looks at. */
+/** Properties of an instance on which the choice of partners depends. */
 export interface RingMember {
   readonly instanceId: string;
   readonly region: string;
   readonly failureDomain: string;
 }
 
-/** Partners next on the ring of the own failure domain: two, so that one crash leaves the ring joined. */
+/** Number of successors on the ring of the own failure domain; two, so that the ring stays connected after a crash. */
 export const DOMAIN_PARTNERS = 2;
-/** Partners in other failure domains of the region. */
+/** Number of partners in other failure domains of the region. */
 export const REGION_PARTNERS = 1;
-/** Partners in other regions. */
+/** Number of partners in other regions. */
 export const FLEET_PARTNERS = 1;
 
-interface Placed<Member> {
+interface PlacedMember<Member> {
   readonly member: Member;
-  readonly place: number;
+  readonly position: number;
 }
 
-/** All members in ring order from the one after `self`, without it. */
+/** Returns all members in ring order, starting after `self` and without it. */
 function ringAfter<Member extends RingMember>(self: RingMember, members: readonly Member[]) {
-  const selfPlace = hashText(self.instanceId);
-  const placed: Placed<Member>[] = members
+  const selfPosition = hashText(self.instanceId);
+  const placedMembers: PlacedMember<Member>[] = members
     .filter((member) => member.instanceId !== self.instanceId)
-    .map((member) => ({ member, place: hashText(member.instanceId) }));
-  const isAhead = ({ place, member }: Placed<Member>) =>
-    place > selfPlace || (place === selfPlace && member.instanceId > self.instanceId);
-  const inOrder = (left: Placed<Member>, right: Placed<Member>) => {
-    if (left.place !== right.place) return left.place - right.place;
+    .map((member) => ({ member, position: hashText(member.instanceId) }));
+  const isAhead = ({ position, member }: PlacedMember<Member>) =>
+    position > selfPosition || (position === selfPosition && member.instanceId > self.instanceId);
+  const byPosition = (left: PlacedMember<Member>, right: PlacedMember<Member>) => {
+    if (left.position !== right.position) return left.position - right.position;
     return left.member.instanceId < right.member.instanceId ? -1 : 1;
   };
-  const ahead = placed.filter(isAhead).sort(inOrder);
-  const behind = placed.filter((entry) => !isAhead(entry)).sort(inOrder);
+  const ahead = placedMembers.filter(isAhead).sort(byPosition);
+  const behind = placedMembers.filter((entry) => !isAhead(entry)).sort(byPosition);
   return [...ahead, ...behind].map((entry) => entry.member);
 }
 
-/** The partners of `self` among `members`, which are those not held for dead. */
+/** Returns the partners of `self` among `members`, which must exclude dead instances. */
 export function choosePartners<Member extends RingMember>(
   self: RingMember,
   members: readonly Member[],
--- a/src/core/membership/compose-message.ts
+++ b/src/core/membership/compose-message.ts
@@ -1,69 +1,69 @@
 import type { GossipEntry } from '../gossip';
 import type { Change, ChangeLog } from '../change-log';
-import { LOAD_BYTES, memberBytes, statementBytes } from './messages';
+import { MAX_LOAD_BYTES, memberBytes, statementBytes } from './messages';
 import type { Cursors, ExchangeMessage } from './messages';
-import { livenessDigest } from './liveness-digest';
+import { livenessHash } from './liveness-digest';
 import type { SendBudget } from './send-budget';
 import {
-  LOAD_BYTES_PER_MESSAGE,
-  MEMBER_BYTES_PER_MESSAGE,
-  STATEMENT_BYTES_PER_MESSAGE,
+  MAX_LOAD_BYTES_PER_MESSAGE,
+  MAX_MEMBER_BYTES_PER_MESSAGE,
+  MAX_STATEMENT_BYTES_PER_MESSAGE,
 } from './timing';
 import type { LoadStatement, MemberRecord } from './types';
 
-/** Who is written to. */
+/** Recipient of a message. */
 export interface Recipient {
   readonly instanceId: string | undefined;
-  /** Undefined before the first answer. */
+  /** Undefined before the first reply. */
   readonly region: string | undefined;
 }
 
-/** The logs that messages are cut from. */
+/** Change logs from which messages are composed. */
 export interface MessageLogs {
   readonly members: ChangeLog<MemberRecord>;
   readonly loads: ChangeLog<LoadStatement>;
   readonly statements: ChangeLog<GossipEntry>;
 }
 
-/** Which of its own parts a message has room for, and where the recipient stands. */
-export interface Portion {
+/** Options of {@link composePortion}. */
+export interface PortionOptions {
   readonly recipient: Recipient;
   readonly ownRegion: string;
   readonly cursors: Cursors;
   readonly budget: SendBudget;
   readonly nowMs: number;
   readonly nowUnixMs: number;
-  /** Load goes with requests only: both sides ask one another, and once is enough. */
-  readonly withLoads: boolean;
-  /** Hashes of liveness that the recipient is known to have. */
+  /** Whether to include loads. Only requests carry them: both sides send requests, so replies need not repeat them. */
+  readonly includesLoads: boolean;
+  /** Liveness hashes that the recipient already knows. */
   readonly knownLiveness: ReadonlySet<number>;
 }
 
-interface Cut<Value> {
+interface Selection<Value> {
   readonly values: readonly Value[];
   readonly upTo: number;
 }
 
-interface CutOptions<Value> {
+interface SelectionOptions<Value> {
   readonly log: ChangeLog<Value>;
   readonly cursor: number;
   readonly limitBytes: number;
   readonly budget: SendBudget;
   readonly sizeOf: (value: Value) => number;
-  readonly concerns: (change: Change<Value>) => boolean;
+  readonly isRelevant: (change: Change<Value>) => boolean;
 }
 
-/** What comes after the cursor, as far as the bytes reach; the oldest goes first so that nothing starves. */
-function cut<Value>(options: CutOptions<Value>): Cut<Value> {
-  const { log, cursor, limitBytes, budget, sizeOf, concerns } = options;
+/** Selects the changes after the cursor that fit into the limit, oldest first so that no change starves. */
+function selectChanges<Value>(options: SelectionOptions<Value>): Selection<Value> {
+  const { log, cursor, limitBytes, budget, sizeOf, isRelevant } = options;
   const values: Value[] = [];
-  let leftBytes = limitBytes;
+  let remainingBytes = limitBytes;
   let upTo = cursor;
   for (const change of log.since(cursor)) {
-    if (concerns(change)) {
+    if (isRelevant(change)) {
       const bytes = sizeOf(change.value);
-      if (bytes > leftBytes) return { values, upTo };
-      leftBytes -= bytes;
+      if (bytes > remainingBytes) return { values, upTo };
+      remainingBytes -= bytes;
       budget.spend(bytes);
       values.push(change.value);
     }
@@ -72,56 +72,58 @@
   return { values, upTo: Math.max(cursor, log.tip()) };
 }
 
-/** Least room for members in each message, so that news of crashes goes out when all else has spent the budget. */
-const LEAST_MEMBER_BYTES = 512;
+/** Bytes for members that each message may always use, so that crashes are reported even when the budget is spent. */
+const MIN_MEMBER_BYTES = 512;
 
-/** The part of a message that is cut from the logs. */
+/** Composes the part of a message that comes from the change logs. */
 export function composePortion(
   logs: MessageLogs,
-  portion: Portion,
+  portion: PortionOptions,
 ): Pick<ExchangeMessage, 'members' | 'loads' | 'statements' | 'upTo' | 'moreMembers'> {
   const { recipient, ownRegion, cursors, budget, nowMs, nowUnixMs } = portion;
-  const { withLoads, knownLiveness } = portion;
-  const isNews = (change: Change<unknown>) =>
+  const { includesLoads, knownLiveness } = portion;
+  const isNewToRecipient = (change: Change<unknown>) =>
     change.learnedFrom === undefined || change.learnedFrom !== recipient.instanceId;
-  const isNear = recipient.region === ownRegion;
+  const isSameRegion = recipient.region === ownRegion;
 
-  const members = cut({
+  const members = selectChanges({
     log: logs.members,
     cursor: cursors.members,
     limitBytes: Math.min(
-      MEMBER_BYTES_PER_MESSAGE,
-      Math.max(LEAST_MEMBER_BYTES, budget.availableBytes(nowMs)),
+      MAX_MEMBER_BYTES_PER_MESSAGE,
+      Math.max(MIN_MEMBER_BYTES, budget.availableBytes(nowMs)),
     ),
     budget,
     sizeOf: memberBytes,
-    concerns: (change) =>
-      isNews(change) &&
+    isRelevant: (change) =>
+      isNewToRecipient(change) &&
       change.key !== recipient.instanceId &&
-      !knownLiveness.has(livenessDigest(change.value)),
+      !knownLiveness.has(livenessHash(change.value)),
   });
-  const statements = cut({
+  const statements = selectChanges({
     log: logs.statements,
     cursor: cursors.statements,
-    limitBytes: Math.min(STATEMENT_BYTES_PER_MESSAGE, budget.availableBytes(nowMs)),
+    limitBytes: Math.min(MAX_STATEMENT_BYTES_PER_MESSAGE, budget.availableBytes(nowMs)),
     budget,
     sizeOf: statementBytes,
-    concerns: (change) =>
-      isNews(change) &&
+    isRelevant: (change) =>
+      isNewToRecipient(change) &&
       change.value.expiresAtUnixMs > nowUnixMs &&
-      statementBytes(change.value) <= STATEMENT_BYTES_PER_MESSAGE &&
+      statementBytes(change.value) <= MAX_STATEMENT_BYTES_PER_MESSAGE &&
       (change.value.regions === undefined ||
         (recipient.region !== undefined && change.value.regions.includes(recipient.region))),
   });
-  const loads = withLoads
-    ? cut({
+  const loads = includesLoads
+    ? selectChanges({
         log: logs.loads,
         cursor: cursors.loads,
-        limitBytes: Math.min(LOAD_BYTES_PER_MESSAGE, budget.availableBytes(nowMs)),
+        limitBytes: Math.min(MAX_LOAD_BYTES_PER_MESSAGE, budget.availableBytes(nowMs)),
         budget,
-        sizeOf: () => LOAD_BYTES,
-        concerns: (change) =>
-          isNews(change) && change.key !== recipient.instanceId && (isNear || change.value.wide),
+        sizeOf: () => MAX_LOAD_BYTES,
+        isRelevant: (change) =>
+          isNewToRecipient(change) &&
+          change.key !== recipient.instanceId &&
+          (isSameRegion || change.value.wide),
       })
     : { values: [], upTo: cursors.loads };
 
--- a/src/core/membership/create-membership.ts
+++ b/src/core/membership/create-membership.ts
@@ -6,20 +6,20 @@
 import type { RandomSource } from '../random';
 import { choosePartners } from './choose-partners';
 import { MEMBERSHIP_EVENTS } from './events';
-import { addressesOutside, chooseExplored } from './explore';
+import { addressesNotAlive, chooseAddressToExplore } from './explore';
 import { logChange } from './log-change';
 import type { ExchangeMessage, MembershipTransport } from './messages';
 import { createPartnerTasks } from './partner-tasks';
-import { NEW_LINK, afterAnswer } from './peer-link';
+import { NEW_LINK, updateLink } from './peer-link';
 import type { PeerLink } from './peer-link';
 import { createSelfRecord } from './self-record';
 import { createSuspicionPolicy } from './suspicion-policy';
 import {
-  ALONE_QUICK_FOR_MS,
-  ALONE_RETRY_MS,
+  ALONE_RETRY_DURATION_MS,
+  ALONE_RETRY_INTERVAL_MS,
   EXPLORE_INTERVAL_MS,
-  PAUSE_MS,
-  TICK_MS,
+  PAUSE_THRESHOLD_MS,
+  TICK_INTERVAL_MS,
 } from './timing';
 import type {
   MemberChange,
@@ -30,51 +30,51 @@
 } from './types';
 import { createView } from './view';
 
-/** What membership is built from. */
+/** Options of {@link createMembership}. */
 export interface MembershipOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
   readonly transport: MembershipTransport;
   readonly gossip: GossipStore;
-  /** Wall clock at the start of the process, which names it. */
+  /** Wall clock time at which the process started, which identifies it. */
   readonly incarnation: number;
   readonly seedPeers: readonly string[];
-  /** This instance as it stands now. */
+  /** Returns the current description of this instance. */
   readonly describeSelf: () => SelfDescription;
 }
 
-/** Membership with its tasks. */
+/** Membership view of this instance, together with the tasks that keep it up to date. */
 export interface Membership extends MembershipView, MembershipChanges, AsyncDisposable {
   self(): MemberRecord;
   members(): readonly MemberRecord[];
   usablePeers(): readonly MemberRecord[];
-  /** Addresses at which other instances may be found, whether they are known to live or not. */
+  /** Returns addresses at which other instances may be found, whether or not they are known to be alive. */
   candidateAddresses(): readonly string[];
-  /** Resolves once the first addresses have been tried. */
+  /** Resolves once the first addresses have been contacted, with or without success. */
   whenExplored(): Promise<void>;
-  /** Whether the settings name nobody else and nobody else has been heard of. */
+  /** Returns whether no other instance is known, neither from the settings nor from messages. */
   isAlone(): boolean;
   /** Starts the tasks. */
   start(): void;
-  /** Takes in what a peer sent, and returns what to answer. */
+  /** Applies a message from a peer and returns the reply. */
   receive(message: ExchangeMessage): ExchangeMessage;
-  /** Says to all from now on that this instance is leaving. */
+  /** Reports this instance as leaving from now on. */
   markLeaving(): void;
-  /** Exchanges at once with partners that `concerns` picks, because there is news for them. */
-  prompt(concerns: (partner: MemberRecord) => boolean): void;
-  /** Calls back for each instance that sent or answered, with its record as of then. */
+  /** Exchanges at once with the partners for which `isSelected` returns true, because there is an update for them. */
+  prompt(isSelected: (partner: MemberRecord) => boolean): void;
+  /** Calls back for each message received from another instance, with that instance's current record. */
   onContact(listener: (record: MemberRecord) => void): Disposable;
 }
 
-/** Partners are chosen again this long after a change, so that many changes at once cost one choice. */
-const RECHOOSE_AFTER_MS = 50;
-/** Addresses tried at once by an instance that knows nobody. */
-const FIRST_TRIES = 5;
-/** Times that a name must be taken back before two live processes are the likely cause. */
-const NAME_USED_TWICE_AFTER = 3;
+/** Delay between a membership change and the new choice of partners, ms; combines changes that come together. */
+const PARTNER_UPDATE_DELAY_MS = 50;
+/** Number of addresses that an instance contacts at once while it knows no other instance. */
+const MAX_FIRST_CONTACTS = 5;
+/** Number of conflicts over the instance id after which two live processes are the likely cause. */
+const DUPLICATE_ID_THRESHOLD = 3;
 
-/** Membership over exchanges with a few partners. */
+/** Creates a membership that spreads its view by exchanges with a few partners. */
 export function createMembership(options: MembershipOptions): Membership {
   const { clock, random, logger, transport, gossip, seedPeers, describeSelf } = options;
   const self = createSelfRecord({
@@ -88,16 +88,16 @@
   const contactListeners = new Set<(record: MemberRecord) => void>();
   const stopping = new AbortController();
   const tasks: Promise<void>[] = [];
-  /** Addresses outside the view to which a try is under way. */
-  const trying = new Set<string>();
-  let endFirstRound = () => {};
+  /** Addresses that are being contacted outside the exchanges with partners. */
+  const addressesBeingContacted = new Set<string>();
+  let resolveFirstRound = () => {};
   const firstRound = new Promise<void>((resolve) => {
-    endFirstRound = resolve;
+    resolveFirstRound = resolve;
   });
-  let observedAtMs = clock.monotonicMs();
-  let pauses = 0;
-  let rechoosing = false;
-  let started = false;
+  let lastCheckedAtMs = clock.monotonicMs();
+  let pauseCount = 0;
+  let isPartnerUpdateScheduled = false;
+  let isStarted = false;
 
   const view = createView({
     self,
@@ -105,11 +105,11 @@
     nowMs: clock.monotonicMs(),
     onChange(change) {
       const { member, previousStatus } = change;
-      const isDenial = previousStatus === 'suspect' && member.status === 'alive';
-      if (isDenial) policy.noteDenial(member.instanceId, clock.monotonicMs());
+      const isRefutation = previousStatus === 'suspect' && member.status === 'alive';
+      if (isRefutation) policy.recordRefutation(member.instanceId, clock.monotonicMs());
       logChange(logger, change);
 
-      scheduleRechoosing();
+      schedulePartnerUpdate();
       // eslint-disable-next-line @typescript-eslint/no-use-before-define -- called after both exist
       partners.wake((partner) => partner.instanceId !== member.instanceId);
       for (const listener of changeListeners) listener(change);
@@ -117,114 +117,115 @@
   });
   const { table } = view;
 
-  const noteNewLife = (reason: string) => {
+  const logNewLife = (reason: string) => {
     const { life } = self.current();
     logger.event(MEMBERSHIP_EVENTS.newLife, { life, reason });
-    if (self.overtakenCount() === NAME_USED_TWICE_AFTER) {
+    if (self.idConflictCount() === DUPLICATE_ID_THRESHOLD) {
       logger.event(MEMBERSHIP_EVENTS.nameUsedTwice, { peer: self.current().instanceId });
     }
   };
 
-  /** Notices that this process stood still, before anything that was known is acted on. */
-  const observe = (): number => {
+  /** Returns the time. If this process was paused, first resets the state that is outdated by the pause. */
+  const nowAfterPauseCheck = (): number => {
     const nowMs = clock.monotonicMs();
-    const gapMs = nowMs - observedAtMs;
-    observedAtMs = nowMs;
-    if (!started || gapMs <= PAUSE_MS) return nowMs;
-    pauses += 1;
+    const gapMs = nowMs - lastCheckedAtMs;
+    lastCheckedAtMs = nowMs;
+    if (!isStarted || gapMs <= PAUSE_THRESHOLD_MS) return nowMs;
+    pauseCount += 1;
     policy.clearFailures();
-    table.restartSuspicions(nowMs);
+    table.restartSuspicionTimeouts(nowMs);
     logger.event(MEMBERSHIP_EVENTS.pauseNoticed, { pausedMs: gapMs });
-    if (self.notePause(gapMs)) noteNewLife('pause');
+    if (self.recordPause(gapMs)) logNewLife('pause');
     return nowMs;
   };
 
-  const read = (message: ExchangeMessage) => {
-    const nowMs = observe();
+  const applyMessage = (message: ExchangeMessage) => {
+    const nowMs = nowAfterPauseCheck();
     const { life } = self.current();
-    const hadToContradict = view.read(message, nowMs);
-    if (self.current().life !== life) noteNewLife('heard of itself');
+    const hadToRefute = view.applyMessage(message, nowMs);
+    if (self.current().life !== life) logNewLife('contradicted by a peer');
     // eslint-disable-next-line @typescript-eslint/no-use-before-define -- called after both exist
-    if (hadToContradict) partners.wake(() => true);
+    if (hadToRefute) partners.wake(() => true);
     if (message.from.processToken === self.current().processToken) return;
     for (const listener of contactListeners) listener(message.from);
   };
 
-  /** Exchanges once with whoever is at `peerAddress`; returns who that was. */
+  /** Exchanges once with the instance at `peerAddress`; returns the id of the instance that replied. */
   const exchange = async (peerAddress: string): Promise<string> => {
     const link = links.get(peerAddress) ?? NEW_LINK;
-    const { message, sent } = view.writeRequest(link, observe(), clock.unixMs());
-    const answer = await transport.exchange(peerAddress, message);
-    links.set(peerAddress, afterAnswer(link, answer, sent));
-    read(answer);
-    return answer.from.instanceId;
+    const { message, senderState } = view.writeRequest(link, nowAfterPauseCheck(), clock.unixMs());
+    const reply = await transport.exchange(peerAddress, message);
+    links.set(peerAddress, updateLink(link, reply, senderState));
+    applyMessage(reply);
+    return reply.from.instanceId;
   };
 
   const exchangeWithPartner = async ({ instanceId, peerAddress }: MemberRecord) => {
-    const pausesBefore = pauses;
+    const pauseCountBefore = pauseCount;
     try {
-      const answeredBy = await exchange(peerAddress);
-      if (answeredBy === instanceId) {
-        policy.noteAnswer(instanceId);
+      const repliedBy = await exchange(peerAddress);
+      if (repliedBy === instanceId) {
+        policy.recordReply(instanceId);
         return true;
       }
     } catch (error) {
       const reason = errorText(error);
       logger.event(MEMBERSHIP_EVENTS.exchangeFailed, { peer: instanceId, reason });
     }
-    const nowMs = observe();
-    if (stopping.signal.aborted || pauses !== pausesBefore) return false;
-    if (policy.noteFailure(instanceId, nowMs)) table.suspect(instanceId, nowMs);
+    const nowMs = nowAfterPauseCheck();
+    if (stopping.signal.aborted || pauseCount !== pauseCountBefore) return false;
+    if (policy.recordFailure(instanceId, nowMs)) table.suspect(instanceId, nowMs);
     return false;
   };
 
   const partners = createPartnerTasks({
     clock,
     random,
-    current: (instanceId) => table.get(instanceId),
+    currentRecord: (instanceId) => table.get(instanceId),
     exchange: exchangeWithPartner,
-    // What is not tried any more must not count as unreachable for ever: the partition that cut it off heals.
-    onDropped: (instanceId) => policy.noteAnswer(instanceId),
+    // A former partner is no longer contacted. Without this, its failures would keep it marked as unreachable after a
+    // network partition has healed.
+    onDropped: (instanceId) => policy.recordReply(instanceId),
   });
 
-  const livingOthers = () => table.others().filter((member) => member.status !== 'dead');
+  const liveOthers = () => table.others().filter((member) => member.status !== 'dead');
 
-  const rechoose = () => {
-    rechoosing = false;
-    if (!stopping.signal.aborted) partners.keep(choosePartners(self.current(), livingOthers()));
+  const updatePartners = () => {
+    isPartnerUpdateScheduled = false;
+    if (!stopping.signal.aborted) partners.update(choosePartners(self.current(), liveOthers()));
   };
 
-  function scheduleRechoosing(): void {
-    if (rechoosing || !started) return;
-    rechoosing = true;
-    clock.schedule(clock.monotonicMs() + RECHOOSE_AFTER_MS, rechoose);
+  function schedulePartnerUpdate(): void {
+    if (isPartnerUpdateScheduled || !isStarted) return;
+    isPartnerUpdateScheduled = true;
+    clock.schedule(clock.monotonicMs() + PARTNER_UPDATE_DELAY_MS, updatePartners);
   }
 
-  const forgetLinks = () => {
+  const removeStaleLinks = () => {
     const addresses = new Set(table.others().map((member) => member.peerAddress));
     for (const address of links.keys()) if (!addresses.has(address)) links.delete(address);
   };
 
   const runTicks = async (): Promise<void> => {
     while (!stopping.signal.aborted) {
-      const nowMs = observe();
+      const nowMs = nowAfterPauseCheck();
       table.tick(nowMs);
-      view.restateLoad(nowMs);
-      gossip.forgetExpired();
-      await sleepUntil(clock, nowMs + TICK_MS, stopping.signal);
+      view.publishLoad(nowMs);
+      gossip.removeExpired();
+      await sleepUntil(clock, nowMs + TICK_INTERVAL_MS, stopping.signal);
     }
   };
 
-  const tryAddress = async (peerAddress: string): Promise<void> => {
-    if (trying.has(peerAddress)) return;
-    trying.add(peerAddress);
+  const contactAddress = async (peerAddress: string): Promise<void> => {
+    if (addressesBeingContacted.has(peerAddress)) return;
+    addressesBeingContacted.add(peerAddress);
     try {
       await exchange(peerAddress);
     } catch (error) {
       const reason = errorText(error);
       logger.event(MEMBERSHIP_EVENTS.exchangeFailed, { peer: peerAddress, reason });
     } finally {
-      trying.delete(peerAddress);
+      addressesBeingContacted.delete(peerAddress);
     }
   };
 
@@ -234,39 +235,41 @@
     knownAddresses: seedPeers,
   });
 
-  const tryFirstAddresses = async (): Promise<void> => {
-    const shuffled = addressesOutside(exploreInput())
+  const contactFirstAddresses = async (): Promise<void> => {
+    const shuffled = addressesNotAlive(exploreInput())
       .map((address) => ({ address, order: random.next() }))
       .sort((left, right) => left.order - right.order);
-    await Promise.all(shuffled.slice(0, FIRST_TRIES).map(({ address }) => tryAddress(address)));
+    await Promise.all(
+      shuffled.slice(0, MAX_FIRST_CONTACTS).map(({ address }) => contactAddress(address)),
+    );
   };
 
   /**
-   * Tries the first addresses again and again until one answers. A try at a machine without power hangs for as long as
-   * a call may take, and must not keep the others waiting.
+   * Contacts the first addresses again and again until one replies or the time for quick retries is over. Attempts
+   * overlap, since one to a machine that is switched off hangs until its timeout and must not delay the others.
    */
-  const findSomebody = async (): Promise<void> => {
-    const quickUntilMs = clock.monotonicMs() + ALONE_QUICK_FOR_MS;
-    const isAlone = () => livingOthers().length === 0 && !stopping.signal.aborted;
-    void tryFirstAddresses().then(endFirstRound);
-    while (isAlone() && clock.monotonicMs() < quickUntilMs) {
-      await sleepUntil(clock, clock.monotonicMs() + ALONE_RETRY_MS, stopping.signal);
-      if (isAlone()) void tryFirstAddresses();
+  const findFirstPeer = async (): Promise<void> => {
+    const quickRetriesEndAtMs = clock.monotonicMs() + ALONE_RETRY_DURATION_MS;
+    const hasNoLivePeer = () => liveOthers().length === 0 && !stopping.signal.aborted;
+    void contactFirstAddresses().then(resolveFirstRound);
+    while (hasNoLivePeer() && clock.monotonicMs() < quickRetriesEndAtMs) {
+      await sleepUntil(clock, clock.monotonicMs() + ALONE_RETRY_INTERVAL_MS, stopping.signal);
+      if (hasNoLivePeer()) void contactFirstAddresses();
     }
   };
 
   const runExplorer = async (): Promise<void> => {
-    const restedMs = () => EXPLORE_INTERVAL_MS * (0.5 + random.next());
-    await findSomebody();
+    const jitteredIntervalMs = () => EXPLORE_INTERVAL_MS * (0.5 + random.next());
+    await findFirstPeer();
     for (let turn = 0; !stopping.signal.aborted; turn += 1) {
-      const isAlone = livingOthers().length === 0;
-      if (isAlone) await tryFirstAddresses();
-      const address = chooseExplored({ ...exploreInput(), turn }, random);
-      if (address !== undefined && !isAlone) await tryAddress(address);
-      forgetLinks();
-      endFirstRound();
-      const restMs = livingOthers().length === 0 ? restedMs() / 5 : restedMs();
-      await sleepUntil(clock, clock.monotonicMs() + restMs, stopping.signal);
+      const hasNoLivePeer = liveOthers().length === 0;
+      if (hasNoLivePeer) await contactFirstAddresses();
+      const address = chooseAddressToExplore({ ...exploreInput(), turn }, random);
+      if (address !== undefined && !hasNoLivePeer) await contactAddress(address);
+      removeStaleLinks();
+      resolveFirstRound();
+      const delayMs = liveOthers().length === 0 ? jitteredIntervalMs() / 5 : jitteredIntervalMs();
+      await sleepUntil(clock, clock.monotonicMs() + delayMs, stopping.signal);
     }
   };
 
@@ -278,25 +281,25 @@
         .others()
         .filter((member) => member.status === 'alive' && !policy.isUnreachable(member.instanceId)),
     candidateAddresses: () => [
-      ...livingOthers().map((member) => member.peerAddress),
-      ...addressesOutside(exploreInput()),
+      ...liveOthers().map((member) => member.peerAddress),
+      ...addressesNotAlive(exploreInput()),
     ],
     whenExplored: () => firstRound,
-    isAlone: () => livingOthers().length + addressesOutside(exploreInput()).length === 0,
+    isAlone: () => liveOthers().length + addressesNotAlive(exploreInput()).length === 0,
     start() {
-      started = true;
-      observedAtMs = clock.monotonicMs();
+      isStarted = true;
+      lastCheckedAtMs = clock.monotonicMs();
       tasks.push(runTicks(), runExplorer());
     },
     receive(message) {
-      read(message);
-      return view.writeAnswer(message, clock.monotonicMs(), clock.unixMs());
+      applyMessage(message);
+      return view.writeReply(message, clock.monotonicMs(), clock.unixMs());
     },
     markLeaving() {
       self.markLeaving();
       partners.wake(() => true);
     },
-    prompt: (concerns) => partners.wake(concerns),
+    prompt: (isSelected) => partners.wake(isSelected),
     onContact(listener) {
       contactListeners.add(listener);
       return {
@@ -315,7 +318,7 @@
     },
     async [Symbol.asyncDispose]() {
       stopping.abort();
-      endFirstRound();
+      resolveFirstRound();
       await Promise.all([...tasks, partners[Symbol.asyncDispose]()]);
     },
   };
--- a/src/core/membership/exchange-text.test.ts
+++ b/src/core/membership/exchange-text.test.ts
@@ -4,7 +4,7 @@
 import type { GossipEntry } from '../gossip';
 import { readExchange, writeExchange } from './exchange-text';
 import type { ExchangeMessage } from './messages';
-import { NO_CURSORS } from './messages';
+import { START_CURSORS } from './messages';
 import type { LoadStatement, MemberRecord } from './types';
 
 const count = fc.nat();
@@ -105,8 +105,8 @@
 const MESSAGE: ExchangeMessage = {
   from: MEMBER,
   haveOfProcess: 0,
-  have: NO_CURSORS,
-  upTo: NO_CURSORS,
+  have: START_CURSORS,
+  upTo: START_CURSORS,
   viewDigest: 5,
   members: [],
   loads: [],
@@ -115,13 +115,13 @@
   moreMembers: false,
 };
 
-/** The message as text with some of its fields replaced. */
+/** Returns the message as text with some of its fields replaced. */
 function changed(fields: object): string {
   return JSON.stringify({ ...(JSON.parse(writeExchange(MESSAGE)) as object), ...fields });
 }
 
-describe('a message of membership as text', () => {
-  it('reads back as it was written', () => {
+describe('a membership message as text', () => {
+  it('survives encoding and decoding unchanged', () => {
     fc.assert(
       fc.property(anyMessage, (message) => {
         assert.deepEqual(readExchange(writeExchange(message)), message);
@@ -130,25 +130,25 @@
     );
   });
 
-  // A newer release says something that this one does not know. Refusing the whole message would part the fleet into
-  // two while it is being replaced.
-  it('leaves out statements on topics that are not known', () => {
+  // A newer release may send topics that this one does not know. Rejecting the whole message would split the fleet in
+  // two during an upgrade.
+  it('skips statements on unknown topics', () => {
     const text = changed({ statements: [['newTopic', 'key', 'a-1', 1, null, 1, '{}']] });
     assert.deepEqual(readExchange(text).statements, []);
   });
 
   const DAMAGED: { name: string; text: string }[] = [
-    { name: 'no JSON', text: '{' },
-    { name: 'a sender without a name', text: changed({ from: ['', 'north'] }) },
+    { name: 'invalid JSON', text: '{' },
+    { name: 'a sender without an id', text: changed({ from: ['', 'north'] }) },
     { name: 'no sender', text: changed({ from: undefined }) },
     {
-      name: 'a status that is not known',
+      name: 'an unknown status',
       text: changed({ members: [['a', 'b', 'c', 'd', 'e', 'x']] }),
     },
     { name: 'cursors of another type', text: changed({ have: ['1', 0, 0] }) },
   ];
   for (const { name, text } of DAMAGED) {
-    it(`is refused with ${name}`, () => {
+    it(`is rejected with ${name}`, () => {
       assert.throws(() => readExchange(text));
     });
   }
--- a/src/core/membership/exchange-text.ts
+++ b/src/core/membership/exchange-text.ts
@@ -4,10 +4,10 @@
 import { createRowCodec } from './row-codec';
 
 /**
- * Membership's messages as text, for instances whose calls to one another are plain HTTP.
+ * Encoding of membership messages as text, for instances that call one another over plain HTTP.
  *
- * Members, loads, statements and cursors are rows without the names of their fields: with the names, these would be most
- * of what an instance sends for its view.
+ * Members, loads, statements and cursors are encoded as rows without field names; the names would make up most of the
+ * membership traffic.
  */
 
 const members = createRowCodec(
@@ -58,7 +58,7 @@
     key: z.string(),
     origin: z.string(),
     version: z.number(),
-    // A row has no place for what is undefined.
+    // JSON arrays cannot hold undefined, so null stands for all regions.
     regions: z.array(z.string()).nullable(),
     expiresAtUnixMs: z.number(),
     payload: z.string(),
@@ -85,19 +85,19 @@
   return statements.write({ ...entry, regions: entry.regions ? [...entry.regions] : null });
 }
 
-/** A statement on a topic that this release does not know is left out: nothing here could read it. */
+/** Decodes a statement; returns an empty list if its topic is unknown to this release, which could not use it. */
 function readStatement(row: readonly unknown[]): GossipEntry[] {
   if (!topicSchema.safeParse(row[0]).success) return [];
   const { regions, ...entry } = statements.read(row);
   return [{ ...entry, regions: regions ?? undefined }];
 }
 
-/** Most lists are empty, and are not written then. */
-function unlessEmpty<Entry>(entries: readonly Entry[]): readonly Entry[] | undefined {
+/** Returns undefined for an empty list, so that it is omitted from the JSON text; most lists are empty. */
+function omitIfEmpty<Entry>(entries: readonly Entry[]): readonly Entry[] | undefined {
   return entries.length === 0 ? undefined : entries;
 }
 
-/** A message as text. */
+/** Encodes a message as text. */
 export function writeExchange(message: ExchangeMessage): string {
   return JSON.stringify({
     from: members.write(message.from),
@@ -105,15 +105,15 @@
     have: cursors.write(message.have),
     upTo: cursors.write(message.upTo),
     viewDigest: message.viewDigest,
-    members: unlessEmpty(message.members.map(members.write)),
-    loads: unlessEmpty(message.loads.map(loads.write)),
-    statements: unlessEmpty(message.statements.map(writeStatement)),
-    knownLiveness: unlessEmpty(message.knownLiveness),
+    members: omitIfEmpty(message.members.map(members.write)),
+    loads: omitIfEmpty(message.loads.map(loads.write)),
+    statements: omitIfEmpty(message.statements.map(writeStatement)),
+    knownLiveness: omitIfEmpty(message.knownLiveness),
     moreMembers: message.moreMembers || undefined,
   });
 }
 
-/** A message from text; throws where it is none. */
+/** Decodes a message from text; throws if the text is not a valid message. */
 export function readExchange(text: string): ExchangeMessage {
   const message = messageSchema.parse(JSON.parse(text));
   return {
--- a/src/core/membership/explore.ts
+++ b/src/core/membership/explore.ts
@@ -3,16 +3,18 @@
 import type { MemberRecord } from './types';
 
 /**
- * Whom to try beside the partners. Partners are chosen among those known to live, so after a network partition
- * each side would keep to itself for ever, and an instance that nobody has heard of would stay alone. One
- * looks for both: now and then an address outside the view, now and then a live member of another region.
+ * Input of {@link chooseAddressToExplore}, which chooses an address to contact in addition to the partners.
+ *
+ * Partners are chosen among instances known to be alive. Without exploration, the two sides of a network partition
+ * would stay separate after it has healed, and an instance unknown to all others would stay alone. To find both,
+ * exploration alternates between addresses not known to be alive and live members of other regions.
  */
 export interface ExploreInput {
   readonly self: MemberRecord;
   readonly others: readonly MemberRecord[];
-  /** Seeds and addresses that the platform lists; either may be wrong. */
+  /** Seeds and addresses that the platform lists; any of them may be wrong. */
   readonly knownAddresses: readonly string[];
-  /** Odd turns go to members, even turns outside. */
+  /** Odd turns prefer live members, even turns addresses not known to be alive. */
   readonly turn: number;
 }
 
@@ -20,26 +22,32 @@
   return items[pickIndex(random, items.length)];
 }
 
-/** Addresses at which nobody is known to live, the dead among them: a partition makes the living look dead. */
-export function addressesOutside(input: Omit<ExploreInput, 'turn'>): readonly string[] {
+/**
+ * Returns the addresses at which no instance is known to be alive. Those of dead instances are included, since live
+ * instances look dead across a network partition.
+ */
+export function addressesNotAlive(input: Omit<ExploreInput, 'turn'>): readonly string[] {
   const { self, others, knownAddresses } = input;
-  const living = new Set(
+  const liveAddresses = new Set(
     others.filter((member) => member.status !== 'dead').map((member) => member.peerAddress),
   );
-  living.add(self.peerAddress);
+  liveAddresses.add(self.peerAddress);
   const dead = others.filter((member) => member.status === 'dead');
   const addresses = new Set([...knownAddresses, ...dead.map((member) => member.peerAddress)]);
-  return [...addresses].filter((address) => !living.has(address));
+  return [...addresses].filter((address) => !liveAddresses.has(address));
 }
 
-/** The address to try next; undefined when there is none. */
-export function chooseExplored(input: ExploreInput, random: RandomSource): string | undefined {
+/** Returns the next address to contact; undefined if there is none. */
+export function chooseAddressToExplore(
+  input: ExploreInput,
+  random: RandomSource,
+): string | undefined {
   const { self, others, turn } = input;
-  const outside = addressesOutside(input);
-  const elsewhere = others.filter(
+  const notAlive = addressesNotAlive(input);
+  const remoteMembers = others.filter(
     (member) => member.status === 'alive' && member.region !== self.region,
   );
-  const prefersMember = turn % 2 === 1 && elsewhere.length > 0;
-  if (outside.length > 0 && !prefersMember) return pick(outside, random);
-  return pick(elsewhere, random)?.peerAddress;
+  const prefersMember = turn % 2 === 1 && remoteMembers.length > 0;
+  if (notAlive.length > 0 && !prefersMember) return pick(notAlive, random);
+  return pick(remoteMembers, random)?.peerAddress;
 }
--- a/src/core/membership/index.ts
+++ b/src/core/membership/index.ts
@@ -1,4 +1,4 @@
-/** Which other instances there are and how they stand. */
+/** Membership: the known instances and their status. */
 export { createMembership } from './create-membership';
 export type { Membership, MembershipOptions } from './create-membership';
 export { MEMBERSHIP_EVENTS } from './events';
--- a/src/core/membership/log-change.ts
+++ b/src/core/membership/log-change.ts
@@ -2,7 +2,7 @@
 import { MEMBERSHIP_EVENTS } from './events';
 import type { MemberChange, MemberStatus } from './types';
 
-function eventOf(status: MemberStatus) {
+function eventForStatus(status: MemberStatus) {
   switch (status) {
     case 'alive':
       return MEMBERSHIP_EVENTS.peerUp;
@@ -17,11 +17,11 @@
   }
 }
 
-/** Writes one line for each change of another instance's liveness. */
+/** Logs a change of another instance's liveness. */
 export function logChange(logger: Logger, change: MemberChange): void {
   const { member, previousStatus, isNewLife } = change;
   if (member.status === previousStatus && !isNewLife) return;
-  logger.event(eventOf(member.status), {
+  logger.event(eventForStatus(member.status), {
     peer: member.instanceId,
     region: member.region,
     failureDomain: member.failureDomain,
--- a/src/core/membership/member-table.ts
+++ b/src/core/membership/member-table.ts
@@ -2,29 +2,38 @@
 import { createChangeLog } from '../change-log';
 import type { ChangeLog } from '../change-log';
 import { compareLoads, mergeRecords, sameLiveness } from './merge';
-import { memberKey, livenessDigest } from './liveness-digest';
-import { FORGET_DEAD_AFTER_MS, REMEMBER_FORGOTTEN_MS, SUSPICION_MS } from './timing';
+import { memberKey, livenessHash } from './liveness-digest';
+import {
+  DEAD_MEMBER_RETENTION_MS,
+  FORGOTTEN_LIFE_RETENTION_MS,
+  SUSPICION_TIMEOUT_MS,
+} from './timing';
 import type { LoadState, LoadStatement, MemberChange, MemberRecord } from './types';
 
 /**
- * What one instance knows of all others: a state machine without sockets or timers. Time comes in with each
- * call, so every course of events can be run on a fake clock.
+ * State of all other instances as known to this one. A state machine without sockets or timers: the time is passed
+ * to each call, so that every sequence of events can be tested with a fake clock.
  */
 export interface MemberTable {
   get(instanceId: string): MemberRecord | undefined;
-  /** All others, the dead that are not forgotten yet included. */
+  /** Returns all other instances, including dead ones that are not forgotten yet. */
   others(): readonly MemberRecord[];
-  /** Takes in a record; true when it told something new about the member's liveness. */
-  takeIn(record: MemberRecord, learnedFrom: string | undefined, nowMs: number): boolean;
-  takeInLoad(statement: LoadStatement, learnedFrom: string | undefined): void;
-  /** What a peer must be told that speaks as `record`: set when this table knows of worse or of a later life. */
-  contradiction(record: MemberRecord): MemberRecord | undefined;
+  /** Merges a record into the table; returns whether it changed the member's liveness. */
+  applyRecord(record: MemberRecord, learnedFrom: string | undefined, nowMs: number): boolean;
+  /** Applies a load statement if it is newer than the last one of that member, and queues it for other peers. */
+  applyLoad(statement: LoadStatement, learnedFrom: string | undefined): void;
+  /**
+   * Returns the record to send to a peer that claims `record` as its own state; set if this table has the peer as
+   * suspect or dead, or knows a later life.
+   */
+  correctionFor(record: MemberRecord): MemberRecord | undefined;
+  /** Marks a live or leaving member as suspect, which starts its suspicion timeout. */
   suspect(instanceId: string, nowMs: number): void;
-  /** Declares dead and forgets what has fallen due. */
+  /** Declares suspects dead after the suspicion timeout, and forgets dead members after their retention time. */
   tick(nowMs: number): void;
-  /** After a pause of this process: suspects get their whole time again, since their denials were not read. */
-  restartSuspicions(nowMs: number): void;
-  /** Exclusive or over the liveness of all that are not dead. */
+  /** Restarts the timeouts of all suspects after a pause of this process, during which refutations were not read. */
+  restartSuspicionTimeouts(nowMs: number): void;
+  /** Returns the exclusive or over the liveness hashes of all members that are not dead. */
   digest(): number;
   readonly memberLog: ChangeLog<MemberRecord>;
   readonly loadLog: ChangeLog<LoadStatement>;
@@ -32,22 +41,23 @@
 
 interface Entry {
   record: MemberRecord;
-  /** When this instance learned that it is suspect or dead. */
-  sinceMs: number;
-  /** Sequence of the last load statement that was passed on. */
-  passedOnLoadSequence: number;
+  /** Time at which this instance learned of the member's current status. */
+  statusSinceMs: number;
+  /** Load sequence of the last load statement that was forwarded. */
+  forwardedLoadSequence: number;
 }
 
-interface Forgotten {
+interface ForgottenMember {
   readonly record: MemberRecord;
+  /** Time at which the member was forgotten. */
   readonly atMs: number;
 }
 
-/** A table that knows nobody. */
+/** Creates an empty member table; `onChange` is called for each change of a member's liveness. */
 export function createMemberTable(onChange: (change: MemberChange) => void): MemberTable {
   const entries = new Map<string, Entry>();
   const idsByKey = new Map<number, string>();
-  const forgotten = new Map<string, Forgotten>();
+  const forgotten = new Map<string, ForgottenMember>();
   const memberLog = createChangeLog<MemberRecord>();
   const loadLog = createChangeLog<LoadStatement>();
   let digest = 0;
@@ -57,7 +67,7 @@
     return past !== undefined && record.life <= past.life;
   };
 
-  const announce = (entry: Entry, previous: MemberRecord | undefined) => {
+  const notifyChange = (entry: Entry, previous: MemberRecord | undefined) => {
     onChange({
       member: entry.record,
       previousStatus: previous?.status,
@@ -69,30 +79,30 @@
     const { record } = entry;
     const previous = entries.get(record.instanceId)?.record;
     if (previous !== undefined) {
-      digest = xorHashes(digest, livenessDigest(previous));
+      digest = xorHashes(digest, livenessHash(previous));
       idsByKey.delete(memberKey(previous));
     }
-    digest = xorHashes(digest, livenessDigest(record));
+    digest = xorHashes(digest, livenessHash(record));
     idsByKey.set(memberKey(record), record.instanceId);
     entries.set(record.instanceId, entry);
     memberLog.append(record.instanceId, record, learnedFrom);
-    announce(entry, previous);
+    notifyChange(entry, previous);
   };
 
-  const takeInNew = (record: MemberRecord, learnedFrom: string | undefined, nowMs: number) => {
+  const addMember = (record: MemberRecord, learnedFrom: string | undefined, nowMs: number) => {
     if (isForgottenLife(record)) return false;
     forgotten.delete(record.instanceId);
-    store({ record, sinceMs: nowMs, passedOnLoadSequence: -1 }, learnedFrom);
+    store({ record, statusSinceMs: nowMs, forwardedLoadSequence: -1 }, learnedFrom);
     return true;
   };
 
-  const takeIn = (
+  const applyRecord = (
     record: MemberRecord,
     learnedFrom: string | undefined,
     nowMs: number,
   ): boolean => {
     const entry = entries.get(record.instanceId);
-    if (entry === undefined) return takeInNew(record, learnedFrom, nowMs);
+    if (entry === undefined) return addMember(record, learnedFrom, nowMs);
     const merged = mergeRecords(entry.record, record);
     if (sameLiveness(merged, entry.record)) {
       entry.record = merged;
@@ -102,8 +112,8 @@
     const isSameStatus = merged.status === entry.record.status;
     const next: Entry = {
       record: merged,
-      sinceMs: isSameStatus ? entry.sinceMs : nowMs,
-      passedOnLoadSequence: isSameLife ? entry.passedOnLoadSequence : -1,
+      statusSinceMs: isSameStatus ? entry.statusSinceMs : nowMs,
+      forwardedLoadSequence: isSameLife ? entry.forwardedLoadSequence : -1,
     };
     store(next, learnedFrom);
     return true;
@@ -121,11 +131,11 @@
 
   const tickEntry = (entry: Entry, nowMs: number) => {
     const { status } = entry.record;
-    if (status === 'suspect' && nowMs - entry.sinceMs >= SUSPICION_MS) {
-      takeIn({ ...entry.record, status: 'dead' }, undefined, nowMs);
+    if (status === 'suspect' && nowMs - entry.statusSinceMs >= SUSPICION_TIMEOUT_MS) {
+      applyRecord({ ...entry.record, status: 'dead' }, undefined, nowMs);
       return;
     }
-    if (status === 'dead' && nowMs - entry.sinceMs >= FORGET_DEAD_AFTER_MS) {
+    if (status === 'dead' && nowMs - entry.statusSinceMs >= DEAD_MEMBER_RETENTION_MS) {
       forget(entry, nowMs);
     }
   };
@@ -135,19 +145,19 @@
     loadLog,
     get: (instanceId) => entries.get(instanceId)?.record,
     others: () => [...entries.values()].map((entry) => entry.record),
-    takeIn,
-    takeInLoad(statement, learnedFrom) {
+    applyRecord,
+    applyLoad(statement, learnedFrom) {
       const instanceId = idsByKey.get(statement.memberKey);
       const entry = instanceId === undefined ? undefined : entries.get(instanceId);
       if (entry === undefined || entry.record.status === 'dead') return;
-      if (statement.loadSequence <= entry.passedOnLoadSequence) return;
+      if (statement.loadSequence <= entry.forwardedLoadSequence) return;
       const { memberKey: key, wide, ...load }: LoadStatement = statement;
       const known: LoadState = entry.record;
       if (compareLoads(known, load) < 0) entry.record = { ...entry.record, ...load };
-      entry.passedOnLoadSequence = statement.loadSequence;
+      entry.forwardedLoadSequence = statement.loadSequence;
       loadLog.append(entry.record.instanceId, { ...load, memberKey: key, wide }, learnedFrom);
     },
-    contradiction(record) {
+    correctionFor(record) {
       const past = forgotten.get(record.instanceId)?.record;
       if (past !== undefined && isForgottenLife(record)) return { ...past, status: 'dead' };
       const known = entries.get(record.instanceId)?.record;
@@ -160,18 +170,18 @@
     suspect(instanceId, nowMs) {
       const record = entries.get(instanceId)?.record;
       if (record === undefined || record.status === 'dead' || record.status === 'suspect') return;
-      takeIn({ ...record, status: 'suspect' }, undefined, nowMs);
+      applyRecord({ ...record, status: 'suspect' }, undefined, nowMs);
     },
     tick(nowMs) {
       for (const entry of [...entries.values()]) tickEntry(entry, nowMs);
       for (const [instanceId, past] of forgotten) {
-        if (nowMs - past.atMs < REMEMBER_FORGOTTEN_MS) break;
+        if (nowMs - past.atMs < FORGOTTEN_LIFE_RETENTION_MS) break;
         forgotten.delete(instanceId);
       }
     },
-    restartSuspicions(nowMs) {
+    restartSuspicionTimeouts(nowMs) {
       for (const entry of entries.values()) {
-        if (entry.record.status === 'suspect') entry.sinceMs = nowMs;
+        if (entry.record.status === 'suspect') entry.statusSinceMs = nowMs;
       }
     },
     digest: () => digest,
--- a/src/core/membership/membership.test.ts
+++ b/src/core/membership/membership.test.ts
@@ -33,20 +33,20 @@
   );
 
 describe('membership of instances', () => {
-  it('lets every instance know all others, from a few seeds', () =>
+  it('makes all instances known to one another, starting from a few seeds', () =>
     withFleet(async (fleet) => {
       assert.deepEqual(usableCounts(fleet), Array(SIZE).fill(SIZE - 1));
     }));
 
-  it('suspects nobody while all is well', () =>
+  it('suspects no instance while all are healthy', () =>
     withFleet(async (fleet) => {
       await fleet.clock.runFor(60_000);
       assert.equal(eventCount(fleet, MEMBERSHIP_EVENTS.peerSuspected), 0);
     }));
 
-  // A machine goes without a word. Requests forwarded to it would wait out their time; after a few seconds
-  // nobody may send there any more.
-  it('gives no work to an instance that has crashed, and holds it for dead after the time to deny', () =>
+  // After a machine crashes, requests forwarded to it would run into their timeouts. Within a few seconds no instance
+  // may send there any more.
+  it('sends no work to a crashed instance, and declares it dead after the suspicion timeout', () =>
     withFleet(async (fleet) => {
       await fleet.crash('i-5');
       await fleet.clock.runFor(4_000);
@@ -55,9 +55,9 @@
       assert.ok(statuses(fleet, 'i-5').every((status) => status === 'dead'));
     }));
 
-  // An instance is replaced by a process under its name and address, on a machine whose clock runs an hour
-  // behind. By the clock alone the new one looks older than the dead one, and nobody would ever use it.
-  it('takes a replacement for a new life even when its clock is behind', () =>
+  // A process replaces a crashed instance under its id and address, on a machine whose clock runs an hour behind. By
+  // the clock alone it looks older than the dead one and would never be used.
+  it('accepts a replacement as a new life even if its clock is behind', () =>
     withFleet(async (fleet) => {
       const old = fleet.get('i-5');
       const oldLife = old.membership.self().life;
@@ -77,9 +77,9 @@
       assert.ok(usableCounts(fleet).every((count) => count === SIZE - 1));
     }));
 
-  // Another instance answers at the address of one that is gone. Whoever trusts the address alone keeps the
-  // dead one among the living for as long as the other answers.
-  it('notices that somebody else answers at the address of a partner', () =>
+  // Another instance replies at the address of a crashed one. If only the address counted, the crashed one would be
+  // considered alive for as long as the other one replies.
+  it('detects that another instance replies at the address of a partner', () =>
     withFleet(async (fleet) => {
       await fleet.crash('i-5');
       fleet.start({
@@ -94,27 +94,27 @@
       assert.ok(statuses(fleet, 'i-99').every((status) => status === 'alive'));
     }));
 
-  // A machine is suspended for half a minute. The others must not wait for it, and when it wakes, it must
-  // neither pass for its former self nor spread that all others are dead because its timers have run out.
-  it('takes an instance that slept for 30 s back as a new life, and it accuses nobody', () =>
+  // A machine is suspended for half a minute. The others must not wait for it. When it resumes, it must not continue
+  // its previous life, nor report all others as dead because its timers have elapsed.
+  it('accepts an instance back as a new life after a pause of 30 s, without suspicions raised by it', () =>
     withFleet(async (fleet) => {
-      const sleeper = fleet.get('i-5');
-      const lifeBefore = sleeper.membership.self().life;
-      sleeper.port.pause();
+      const pausedInstance = fleet.get('i-5');
+      const lifeBefore = pausedInstance.membership.self().life;
+      pausedInstance.port.pause();
       await fleet.clock.runFor(30_000);
       assert.ok(statuses(fleet, 'i-5').every((status) => status === 'dead'));
       const suspicionsBefore = eventCount(fleet, MEMBERSHIP_EVENTS.peerSuspected);
-      sleeper.port.wake();
+      pausedInstance.port.wake();
       await fleet.clock.runFor(10_000);
       assert.ok(statuses(fleet, 'i-5').every((status) => status === 'alive'));
-      assert.ok(sleeper.membership.self().life > lifeBefore);
+      assert.ok(pausedInstance.membership.self().life > lifeBefore);
       assert.equal(eventCount(fleet, MEMBERSHIP_EVENTS.peerSuspected), suspicionsBefore);
       assert.deepEqual(usableCounts(fleet), Array(SIZE).fill(SIZE - 1));
     }));
 
-  // The network between one region and all others fails for five minutes. Each side goes on with its own;
-  // afterwards both must find one another again although each holds the other for dead.
-  it('lets both sides of a network partition go on alone and joins them after it heals', () =>
+  // The network between one region and all others fails for five minutes. Each side continues with its own instances;
+  // afterwards both must find one another again although each considers the other dead.
+  it('keeps both sides of a network partition working and merges them after it heals', () =>
     withFleet(async (fleet) => {
       fleet.setCut((from, to) => (from.region === 'region-0') !== (to.region === 'region-0'));
       await fleet.clock.runFor(300_000);
@@ -128,9 +128,9 @@
       assert.deepEqual(usableCounts(fleet), Array(SIZE).fill(SIZE - 1));
     }));
 
-  // One instance can't reach another, everyone else can, and the other hears all. Were the accusation
-  // believed, a healthy instance would lose its work everywhere, again and again.
-  it('keeps an instance in use that only one other cannot reach', () =>
+  // One instance cannot reach another, while all others can and the other receives everything. If every suspicion were
+  // accepted, a healthy instance would repeatedly lose its work everywhere.
+  it('keeps an instance usable that only one other instance cannot reach', () =>
     withFleet(async (fleet) => {
       fleet.setCut((from, to) => from.address === 'i-1:7400' && to.address === 'i-4:7400');
       await fleet.clock.runFor(180_000);
@@ -141,13 +141,13 @@
         ({ definition, fields }) =>
           definition.id === MEMBERSHIP_EVENTS.peerSuspected.id && fields.peer === 'i-4',
       );
-      // Hold-offs of 4, 8, 16, 32, 64 and 128 s leave room for this many accusations.
-      assert.ok(suspicions.length <= 7, `${suspicions.length} accusations`);
+      // Backoffs of 4, 8, 16, 32, 64 and 128 s allow at most this many suspicions.
+      assert.ok(suspicions.length <= 7, `${suspicions.length} suspicions`);
       assert.equal(eventCount(fleet, MEMBERSHIP_EVENTS.peerDown), 0);
     }));
 
-  // The seeds of a new instance name machines that are long gone and leave out living ones.
-  it('lives with seeds that are wrong, and finds the fleet by one right entry', () =>
+  // The seeds of a new instance list machines that no longer exist and omit live ones.
+  it('finds the fleet with mostly wrong seeds if one of them is right', () =>
     withFleet(async (fleet) => {
       fleet.start({
         instanceId: 'i-new',
@@ -159,18 +159,18 @@
       assert.ok(usableCounts(fleet).every((count) => count === SIZE));
     }));
 
-  // A dead instance is forgotten after a while. A node that was cut off all the time still has it as living;
-  // its old news must not bring the dead one back.
-  it('does not bring a forgotten instance back on stale news', () =>
+  // A dead instance is forgotten after a while. An instance that was cut off all the time still has it as alive; its
+  // stale record must not bring the dead one back.
+  it('does not restore a forgotten instance from a stale record', () =>
     withFleet(async (fleet) => {
       const stale = fleet.seen('i-0', 'i-5');
       assert.ok(stale !== undefined);
       await fleet.crash('i-5');
       await fleet.clock.runFor(700_000);
       assert.equal(fleet.seen('i-0', 'i-5'), undefined);
-      const teller = fleet.get('i-1').membership;
-      const answer = fleet.get('i-0').membership.receive({
-        from: teller.self(),
+      const sender = fleet.get('i-1').membership;
+      const reply = fleet.get('i-0').membership.receive({
+        from: sender.self(),
         haveOfProcess: 0,
         have: { members: 0, loads: 0, statements: 0 },
         upTo: { members: 0, loads: 0, statements: 0 },
@@ -182,12 +182,12 @@
         moreMembers: false,
       });
       assert.equal(fleet.seen('i-0', 'i-5'), undefined);
-      assert.ok(!answer.members.some((member) => member.instanceId === 'i-5'));
+      assert.ok(!reply.members.some((member) => member.instanceId === 'i-5'));
     }));
 
-  // Two machines are given one instanceId by mistake. Each keeps taking the name from the other, and callers
-  // find their entry jumping between two places; somebody has to be told.
-  it('raises an alarm when one name is used by two processes', () =>
+  // Two machines are given one instanceId by mistake. Each keeps reclaiming it from the other, and callers see the
+  // address of their entry instance alternate between the two. Operators must learn of it.
+  it('logs an error if two processes use the same instanceId', () =>
     withFleet(async (fleet) => {
       const first = fleet.get('i-5');
       fleet.start({
@@ -197,13 +197,13 @@
         seedPeers: ['i-0:7400'],
       });
       await fleet.clock.runFor(30_000);
-      const alarms = first.logger.lines.filter(
+      const nameErrors = first.logger.lines.filter(
         ({ definition }) => definition.id === MEMBERSHIP_EVENTS.nameUsedTwice.id,
       );
-      assert.ok(alarms.length > 0);
+      assert.ok(nameErrors.length > 0);
     }));
 
-  it('tells everyone at once that an instance is leaving', () =>
+  it('reports to all instances at once that an instance is leaving', () =>
     withFleet(async (fleet) => {
       fleet.get('i-5').membership.markLeaving();
       await fleet.clock.runFor(1_500);
@@ -219,9 +219,9 @@
       assert.ok(views.every((seen) => seen?.configurationVersion === 9));
     }));
 
-  it('sends no more bytes a node as the fleet grows from 32 to 100', async () => {
-    const bytesPerNode = async (size: number): Promise<number> => {
-      let perNode = 0;
+  it('keeps the bytes sent per instance bounded as the fleet grows from 32 to 100', async () => {
+    const bytesPerInstance = async (size: number): Promise<number> => {
+      let perInstance = 0;
       await withFleet(async (fleet) => {
         const total = () =>
           [...fleet.instances.values()].reduce((sum, each) => sum + each.sentBytes(), 0);
@@ -230,17 +230,17 @@
           for (const { says } of fleet.instances.values()) says.inFlightRequests += 1;
           await fleet.clock.runFor(1_000);
         }
-        perNode = (total() - before) / size / 20;
+        perInstance = (total() - before) / size / 20;
       }, size);
-      return perNode;
+      return perInstance;
     };
-    const [small, large] = [await bytesPerNode(32), await bytesPerNode(100)];
-    assert.ok(large / small < 1.5, `${small} and ${large} bytes/s a node`);
+    const [small, large] = [await bytesPerInstance(32), await bytesPerInstance(100)];
+    assert.ok(large / small < 1.5, `${small} and ${large} bytes/s per instance`);
   });
 
-  // All instances lose power and start again, the seeds last. One that tried them too early and rests for seconds knows
-  // no other region meanwhile, and refuses all requests that are bound to one.
-  it('meets a seed that starts after it within a third of a second', async () => {
+  // After a power loss all instances restart, the seeds last. An instance that contacted them too early and then waits
+  // for seconds knows no other region meanwhile, and refuses all requests that are bound to one.
+  it('finds a seed that starts after it within a third of a second', async () => {
     const fleet = createVirtualFleet();
     const seed = { region: 'region-1', failureDomain: 'region-1-1', instanceId: 'seed' };
     fleet.start(seed);
@@ -258,9 +258,9 @@
     await fleet[Symbol.asyncDispose]();
   });
 
-  // An instance is met before it has read its routes, and is given no work. That it has them now is told with its load,
-  // which reaches other regions seconds later; until then requests that only it could serve are refused.
-  it('tells all others at once that it has a configuration', () =>
+  // An instance becomes known before it has read its routes, and receives no work. If it reported its routes only with
+  // its load, other regions would learn of them seconds later and refuse requests that only it could serve until then.
+  it('reports to all instances at once that it has a configuration', () =>
     withFleet(async (fleet) => {
       const late = fleet.start({
         instanceId: 'late',
--- a/src/core/membership/merge.test.ts
+++ b/src/core/membership/merge.test.ts
@@ -4,7 +4,7 @@
 import { mergeRecords, sameLiveness } from './merge';
 import type { MemberRecord } from './types';
 
-/** Small ranges, so that ties and overtakings of every kind come up. */
+/** Small ranges, so that ties and inversions of every kind occur. */
 const anyRecord: fc.Arbitrary<MemberRecord> = fc.record(
   {
     instanceId: fc.constant('windhoek-a-1'),
@@ -61,7 +61,7 @@
   },
 ];
 
-describe('merging what is said of one instance', () => {
+describe('merging records of one instance', () => {
   for (const { name, check } of LAWS) {
     it(`is ${name}`, () => {
       fc.assert(fc.property(anyRecord, anyRecord, anyRecord, check), RUNS);
@@ -89,15 +89,15 @@
   };
 
   const CASES: { name: string; other: Partial<MemberRecord>; wins: boolean }[] = [
-    { name: 'a suspicion of what it last said', other: { status: 'suspect' }, wins: true },
+    { name: 'a suspicion at the same sequence', other: { status: 'suspect' }, wins: true },
     {
-      name: 'a suspicion of what it said before',
+      name: 'a suspicion at an earlier sequence',
       other: { status: 'suspect', sequence: 1 },
       wins: false,
     },
-    { name: 'its denial of a suspicion', other: { sequence: 3 }, wins: true },
+    { name: 'a refutation, which has a later sequence', other: { sequence: 3 }, wins: true },
     {
-      name: 'its death, whatever it says later',
+      name: 'a death in the same life, even at an earlier sequence',
       other: { status: 'dead', sequence: 0 },
       wins: true,
     },
@@ -109,7 +109,7 @@
     { name: 'a later life', other: { life: 6, sequence: 0 }, wins: true },
   ];
   for (const { name, other, wins } of CASES) {
-    it(`${wins ? 'takes' : 'leaves out'} ${name}`, () => {
+    it(`${wins ? 'accepts' : 'ignores'} ${name}`, () => {
       const merged = mergeRecords(base, { ...base, ...other });
       assert.equal(sameLiveness(merged, base), !wins);
     });
--- a/src/core/membership/merge.ts
+++ b/src/core/membership/merge.ts
@@ -1,16 +1,15 @@
 import type { LoadState, MemberRecord, MemberStatus } from './types';
 
 /**
- * Merging of two statements about one instance. Statements arrive in any order, twice, or by several ways;
- * unless every order gives the same result, two instances that heard the same things disagree for ever, and
- * one goes on sending work to an instance that the other knows to be gone.
+ * Merging of two records of one instance. Records arrive in any order, repeatedly and over several paths. Unless every
+ * order gives the same result, two instances that received the same records could disagree for ever, and one would
+ * keep sending work to an instance that the other knows to be dead.
  *
- * The later life wins whole. Within a life the liveness and the load are merged apart, each by
- * a total order, so the result is the least upper bound of a lexicographic product: commutative, associative
- * and idempotent.
+ * The record of the later life wins entirely. Within a life, liveness and load are merged separately, each by a total
+ * order, so the result is the least upper bound of a lexicographic product: commutative, associative and idempotent.
  */
 
-/** At one sequence the more severe status stands; a life found dead stays dead. */
+/** At equal sequences the more severe status wins; a life declared dead stays dead. */
 const SEVERITY: Readonly<Record<MemberStatus, number>> = {
   alive: 0,
   leaving: 1,
@@ -63,7 +62,7 @@
   };
 }
 
-/** Orders what no honest instance says twice; any fixed order will do. */
+/** Orders different records with equal sequences, which a correct instance never sends; any fixed order would do. */
 function compareContent(left: object, right: object): number {
   const leftText = JSON.stringify(left);
   const rightText = JSON.stringify(right);
@@ -86,12 +85,12 @@
   );
 }
 
-/** Negative when `right` is the later statement of load. */
+/** Compares two loads of one life; the result is negative if `right` is the later one. */
 export function compareLoads(left: LoadState, right: LoadState): number {
   return left.loadSequence - right.loadSequence || compareContent(loadOf(left), loadOf(right));
 }
 
-/** What both records together say of one instance. */
+/** Merges two records of one instance. */
 export function mergeRecords(left: MemberRecord, right: MemberRecord): MemberRecord {
   const lives = compareLives(left, right);
   if (lives !== 0) return lives > 0 ? left : right;
@@ -100,7 +99,7 @@
   return liveness === load ? liveness : { ...liveness, ...loadOf(load) };
 }
 
-/** Whether two records say the same of the instance's liveness. */
+/** Returns whether two records agree on the instance's liveness. */
 export function sameLiveness(left: MemberRecord, right: MemberRecord): boolean {
   return compareLives(left, right) === 0 && compareLiveness(left, right) === 0;
 }
--- a/src/core/membership/messages.ts
+++ b/src/core/membership/messages.ts
@@ -1,53 +1,53 @@
 import type { GossipEntry } from '../gossip';
 import type { LoadStatement, MemberRecord } from './types';
 
-/** Positions in an instance's three change logs. */
+/** Positions in an instance's change logs of members, load statements and gossip statements. */
 export interface Cursors {
   readonly members: number;
   readonly loads: number;
   readonly statements: number;
 }
 
-/** Nothing read yet. */
-export const NO_CURSORS: Cursors = { members: 0, loads: 0, statements: 0 };
+/** Cursors of a reader that has read nothing yet. */
+export const START_CURSORS: Cursors = { members: 0, loads: 0, statements: 0 };
 
-/** What two instances send one another, as request and as response. */
+/** Message that two instances exchange, as request and as reply. */
 export interface ExchangeMessage {
   /** The sender itself. */
   readonly from: MemberRecord;
-  /** Process of the receiver that `have` counts in; 0 when the sender has nothing of it. */
+  /** Process token of the receiver to whose logs `have` refers; 0 if the sender has read nothing of them. */
   readonly haveOfProcess: number;
-  /** How much of the receiver's logs the sender has read. */
+  /** Positions up to which the sender has read the receiver's logs. */
   readonly have: Cursors;
-  /** How much of the sender's logs the receiver has read once it has this message. */
+  /** Positions up to which the receiver has read the sender's logs once it has applied this message. */
   readonly upTo: Cursors;
-  /** Digest of the sender's view of all liveness. */
+  /** Digest of the liveness of all members in the sender's view. */
   readonly viewDigest: number;
   readonly members: readonly MemberRecord[];
   readonly loads: readonly LoadStatement[];
   readonly statements: readonly GossipEntry[];
-  /** Hashes of liveness that the sender knows and need not be sent; given while two instances catch up. */
+  /** Liveness hashes that the sender already knows, so the receiver can skip them; set while two instances catch up. */
   readonly knownLiveness: readonly number[];
-  /** Whether members were left over for want of room. */
+  /** Whether further members did not fit into this message. */
   readonly moreMembers: boolean;
 }
 
-/** How membership reaches another instance. */
+/** Transport of membership messages between instances. */
 export interface MembershipTransport {
-  /** Sends a message and returns the answer; rejects when the peer can't be reached. */
+  /** Sends a message and returns the reply; rejects if the peer cannot be reached. */
   exchange(peerAddress: string, message: ExchangeMessage): Promise<ExchangeMessage>;
 }
 
 const MEMBER_FIXED_BYTES = 64;
 const STATEMENT_FIXED_BYTES = 24;
 
-/** Bytes of the hash of one liveness. */
-export const STANDING_HASH_BYTES = 4;
+/** Size of a liveness hash on the wire, bytes. */
+export const LIVENESS_HASH_BYTES = 4;
 
-/** Bytes of a load statement on the wire, at most. */
-export const LOAD_BYTES = 36;
+/** Maximum size of a load statement on the wire, bytes. */
+export const MAX_LOAD_BYTES = 36;
 
-/** Bytes of a member on the wire, within a few. */
+/** Returns the approximate size of a member on the wire, bytes. */
 export function memberBytes(member: MemberRecord): number {
   return (
     MEMBER_FIXED_BYTES +
@@ -59,7 +59,7 @@
   );
 }
 
-/** Bytes of a gossip statement on the wire, within a few. */
+/** Returns the approximate size of a gossip statement on the wire, bytes. */
 export function statementBytes(entry: GossipEntry): number {
   const regions = entry.regions ?? [];
   return (
--- a/src/core/membership/partner-tasks.ts
+++ b/src/core/membership/partner-tasks.ts
@@ -1,26 +1,26 @@
 import { createWakeUp } from '../clock';
 import type { Clock, WakeUp } from '../clock';
 import type { RandomSource } from '../random';
-import { EXCHANGE_INTERVAL_MS, PROMPTED_GAP_MS, RETRY_AFTER_MS } from './timing';
+import { EXCHANGE_INTERVAL_MS, MIN_EXCHANGE_GAP_MS, RETRY_DELAY_MS } from './timing';
 import type { MemberRecord } from './types';
 
-/** One task for each partner, started and ended as partners are chosen. */
+/** Tasks that exchange messages with the current partners at an interval, one task per partner. */
 export interface PartnerTasks extends AsyncDisposable {
-  /** Ends the tasks of those not named and starts those missing. */
-  keep(partners: readonly MemberRecord[]): void;
-  /** Ends the rest of the tasks whose partner `concerns` picks. */
-  wake(concerns: (partner: MemberRecord) => boolean): void;
+  /** Sets the current partners: ends the tasks of all others and starts missing ones. */
+  update(partners: readonly MemberRecord[]): void;
+  /** Wakes the tasks of the partners for which `isSelected` returns true, so that they exchange at once. */
+  wake(isSelected: (partner: MemberRecord) => boolean): void;
 }
 
-/** What the tasks need. */
+/** Options of {@link createPartnerTasks}. */
 export interface PartnerTasksOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
-  /** The partner as it is known now; undefined ends its task. */
-  readonly current: (instanceId: string) => MemberRecord | undefined;
-  /** Exchanges once; false when the partner did not answer. */
+  /** Returns the current record of a partner; undefined ends its task. */
+  readonly currentRecord: (instanceId: string) => MemberRecord | undefined;
+  /** Exchanges once; resolves to false if the partner did not reply. */
   readonly exchange: (partner: MemberRecord) => Promise<boolean>;
-  /** The partner is exchanged with no more, so nothing further is learned about reaching it. */
+  /** Called when an instance stops being a partner, after which its reachability is no longer observed. */
   readonly onDropped: (instanceId: string) => void;
 }
 
@@ -29,37 +29,38 @@
   readonly ending: AbortController;
 }
 
-/** Spread of the rests, so that exchanges of instances that started together drift apart. */
-const REST_SPREAD = 0.2;
+/** Jitter of the interval as a fraction of it, so that exchanges of instances that started together drift apart. */
+const INTERVAL_JITTER = 0.2;
 
-/** No partners yet. */
+/** Creates partner tasks without any partner. */
 export function createPartnerTasks(options: PartnerTasksOptions): PartnerTasks {
-  const { clock, random, current, exchange, onDropped } = options;
+  const { clock, random, currentRecord, exchange, onDropped } = options;
   const tasks = new Map<string, PartnerTask>();
   const running = new Set<Promise<void>>();
 
-  const restMs = (answered: boolean): number => {
-    if (!answered) return RETRY_AFTER_MS;
-    return EXCHANGE_INTERVAL_MS * (1 - REST_SPREAD / 2 + random.next() * REST_SPREAD);
+  /** Returns the delay before the next exchange: the jittered interval, or the shorter delay of a retry. */
+  const delayMs = (usesInterval: boolean): number => {
+    if (!usesInterval) return RETRY_DELAY_MS;
+    return EXCHANGE_INTERVAL_MS * (1 - INTERVAL_JITTER / 2 + random.next() * INTERVAL_JITTER);
   };
 
   const run = async (instanceId: string, { wakeUp, ending }: PartnerTask): Promise<void> => {
     const { signal } = ending;
     let failures = 0;
     while (!signal.aborted) {
-      const partner = current(instanceId);
+      const partner = currentRecord(instanceId);
       if (partner === undefined) return;
-      const answered = await exchange(partner);
-      failures = answered ? 0 : failures + 1;
+      const hasReplied = await exchange(partner);
+      failures = hasReplied ? 0 : failures + 1;
       const doneAtMs = clock.monotonicMs();
-      // A partner that stays silent is tried at the ordinary pace after one quick second try.
-      await wakeUp.restUntil(doneAtMs + restMs(answered || failures > 1), signal);
-      await wakeUp.restUntil(doneAtMs + PROMPTED_GAP_MS, signal);
+      // A partner that does not reply is retried quickly once, then at the regular interval.
+      await wakeUp.restUntil(doneAtMs + delayMs(hasReplied || failures > 1), signal);
+      await wakeUp.restUntil(doneAtMs + MIN_EXCHANGE_GAP_MS, signal);
     }
   };
 
   return {
-    keep(partners) {
+    update(partners) {
       const wanted = new Set(partners.map((partner) => partner.instanceId));
       for (const [instanceId, task] of tasks) {
         if (!wanted.has(instanceId)) {
@@ -77,10 +78,10 @@
         }
       }
     },
-    wake(concerns) {
+    wake(isSelected) {
       for (const [instanceId, { wakeUp }] of tasks) {
-        const partner = current(instanceId);
-        if (partner !== undefined && concerns(partner)) wakeUp.wake();
+        const partner = currentRecord(instanceId);
+        if (partner !== undefined && isSelected(partner)) wakeUp.wake();
       }
     },
     async [Symbol.asyncDispose]() {
--- a/src/core/membership/peer-link.ts
+++ b/src/core/membership/peer-link.ts
@@ -1,82 +1,88 @@
 import type { Cursors, ExchangeMessage } from './messages';
-import { NO_CURSORS } from './messages';
+import { START_CURSORS } from './messages';
 
 /**
- * Where two instances stand with one another, as the one knows that asks. Positions count in the logs of one
- * process; when another process answers at the address, both sides start again.
+ * Synchronization state with the instance at one address, as kept by the side that sends requests. Positions refer to
+ * the logs of one process; when another process replies at the address, synchronization starts over.
  */
 export interface PeerLink {
-  /** Process that answers there; 0 before the first answer. */
+  /** Token of the process that replies there; 0 before the first reply. */
   readonly processToken: number;
   readonly instanceId: string | undefined;
   readonly region: string | undefined;
-  /** How much of the peer's logs has been read here. */
+  /** Positions up to which this instance has read the peer's logs. */
   readonly have: Cursors;
-  /** How much of the own logs the peer has read; undefined until its first answer shows what it lacks. */
+  /** Positions up to which the peer has read the own logs; undefined until its first reply shows what it lacks. */
   readonly sent: Cursors | undefined;
-  /** Exchanges in a row after which the views still differed though nothing was left to send. */
+  /** Number of consecutive exchanges after which the views still differed although nothing remained to be sent. */
   readonly differingCount: number;
-  /** Hashes of liveness that the peer said it knows; they are not sent while it is caught up with. */
-  readonly peerKnows: ReadonlySet<number>;
-  /** Whether the peer still has members for this instance that had no room. */
+  /** Liveness hashes that the peer reported as known; they are skipped while the two catch up. */
+  readonly livenessKnownToPeer: ReadonlySet<number>;
+  /** Whether the peer has further members for this instance that did not fit into its last message. */
   readonly isCatchingUp: boolean;
 }
 
-/** Nothing is known of the peer. */
+/** Link to an address from which no reply has arrived yet. */
 export const NEW_LINK: PeerLink = {
   processToken: 0,
   instanceId: undefined,
   region: undefined,
-  have: NO_CURSORS,
+  have: START_CURSORS,
   sent: undefined,
   differingCount: 0,
-  peerKnows: new Set(),
+  livenessKnownToPeer: new Set(),
   isCatchingUp: true,
 };
 
 /**
- * Exchanges after which differing views are exchanged whole. News on its way makes views differ for a moment;
- * a difference that stays means that something was lost, for instance over two processes of one name.
+ * Number of consecutive differing exchanges after which views are exchanged in full. Updates in transit make views
+ * differ for a moment; a lasting difference means that an update was lost, for example because two processes use one
+ * instance id.
  */
-const WHOLE_VIEW_AFTER_DIFFERING = 10;
+const MAX_DIFFERING_EXCHANGES = 10;
 
-/** What the asking side knew when it sent. */
-export interface SentState {
+/** State of the sender at the time of a request. */
+export interface RequestState {
   readonly upTo: Cursors;
   readonly tips: Cursors;
   readonly viewDigest: number;
 }
 
-function readOn(link: PeerLink, answer: ExchangeMessage, sent: SentState): PeerLink {
-  const isEqual = answer.viewDigest === sent.viewDigest;
-  const isIdle = answer.members.length === 0;
-  const differingCount = isEqual || !isIdle ? 0 : link.differingCount + 1;
-  const isCatchingUp = answer.moreMembers;
-  const hasSentAll = sent.upTo.members >= sent.tips.members;
-  const peerKnows = hasSentAll ? NEW_LINK.peerKnows : link.peerKnows;
-  if (differingCount < WHOLE_VIEW_AFTER_DIFFERING) {
-    const cursors = { have: answer.upTo, sent: sent.upTo };
-    return { ...link, ...cursors, differingCount, peerKnows, isCatchingUp };
+/** Returns the link updated after a further reply of the same process; a new link if the views differ for too long. */
+function advanceLink(link: PeerLink, reply: ExchangeMessage, senderState: RequestState): PeerLink {
+  const viewsAgree = reply.viewDigest === senderState.viewDigest;
+  const hasNoMembers = reply.members.length === 0;
+  const differingCount = viewsAgree || !hasNoMembers ? 0 : link.differingCount + 1;
+  const isCatchingUp = reply.moreMembers;
+  const hasSentAll = senderState.upTo.members >= senderState.tips.members;
+  const livenessKnownToPeer = hasSentAll ? NEW_LINK.livenessKnownToPeer : link.livenessKnownToPeer;
+  if (differingCount < MAX_DIFFERING_EXCHANGES) {
+    const cursors = { have: reply.upTo, sent: senderState.upTo };
+    return { ...link, ...cursors, differingCount, livenessKnownToPeer, isCatchingUp };
   }
   return { ...NEW_LINK, region: link.region, instanceId: link.instanceId };
 }
 
-/** The link after an answer. */
-export function afterAnswer(link: PeerLink, answer: ExchangeMessage, sent: SentState): PeerLink {
-  const { processToken, instanceId, region } = answer.from;
+/** Returns the link updated after a reply. */
+export function updateLink(
+  link: PeerLink,
+  reply: ExchangeMessage,
+  senderState: RequestState,
+): PeerLink {
+  const { processToken, instanceId, region } = reply.from;
   if (link.processToken === processToken && link.sent !== undefined) {
-    return readOn(link, answer, sent);
+    return advanceLink(link, reply, senderState);
   }
-  const isEqual = answer.viewDigest === sent.viewDigest;
-  const members = isEqual ? sent.tips.members : 0;
+  const viewsAgree = reply.viewDigest === senderState.viewDigest;
+  const members = viewsAgree ? senderState.tips.members : 0;
   return {
     processToken,
     instanceId,
     region,
-    have: answer.upTo,
-    sent: { ...NO_CURSORS, members },
+    have: reply.upTo,
+    sent: { ...START_CURSORS, members },
     differingCount: 0,
-    peerKnows: new Set(answer.knownLiveness),
-    isCatchingUp: answer.moreMembers,
+    livenessKnownToPeer: new Set(reply.knownLiveness),
+    isCatchingUp: reply.moreMembers,
   };
 }
--- a/src/core/membership/row-codec.ts
+++ b/src/core/membership/row-codec.ts
@@ -1,13 +1,13 @@
 import type { z } from 'zod';
 
-/** Writes records of one shape as rows: the values in the order of the schema's fields, without their names. */
+/** Encodes records of one schema as rows: their values in the order of the schema's fields, without field names. */
 export interface RowCodec<Schema extends z.ZodObject> {
   write(record: z.output<Schema>): readonly unknown[];
-  /** Throws where the row does not fit; values beyond the known fields are passed over. */
+  /** Decodes a row; throws if it does not match the schema, and ignores values beyond the known fields. */
   read(row: readonly unknown[]): z.output<Schema>;
 }
 
-/** A codec for the fields of `schema`. */
+/** Creates a codec for the fields of `schema`. */
 export function createRowCodec<Schema extends z.ZodObject>(schema: Schema): RowCodec<Schema> {
   const fields = Object.keys(schema.shape);
   return {
--- a/src/core/membership/self-record.ts
+++ b/src/core/membership/self-record.ts
@@ -1,39 +1,41 @@
-import { NEW_LIFE_AFTER_PAUSE_MS } from './timing';
+import { NEW_LIFE_PAUSE_THRESHOLD_MS } from './timing';
 import type { MemberRecord, SelfDescription } from './types';
 
 /**
- * This instance's own record and the number of its life.
+ * This instance's own record, including the number of its current life.
  *
- * A life starts from the wall clock, which as a rule puts a replacement above its predecessor. That is not
- * relied on: clocks of two machines differ, and a replacement whose clock runs behind would be held for a
- * stale report of the dead one and never be given work. So whenever this process hears of a life of its own
- * name that is not its own and not lower, it takes the next number above that. Each process also draws a
- * token, so that two processes that start from the same number are still told apart. Whoever knows of a later
- * life than a peer claims says so in its answer, hence the correction takes one exchange.
+ * The first life of a process is numbered by the wall clock, which normally ranks a replacement above its predecessor.
+ * This is not relied on: clocks of two machines differ, and a replacement whose clock runs behind would look like a
+ * stale record of the dead instance and never receive work. So when this process learns of a life of another process
+ * that has the same instance id and an equal or higher number, it takes the next number above it. Each process also
+ * draws a random token, so that two processes that start with the same number can still be distinguished. A peer that
+ * knows a later life than the one claimed by the sender includes it in its reply, so the correction takes one exchange.
  *
- * A process that stood still for long has been held dead and perhaps replaced; it comes back as a new life
- * too. Its incarnation stays, since it still remembers what it did before.
+ * A process that was paused for {@link NEW_LIFE_PAUSE_THRESHOLD_MS} has been declared dead and perhaps replaced, so it
+ * returns as a new life too. Its incarnation stays the same, since it still has its state from before the pause.
  */
 export interface SelfRecord {
+  /** Returns the record, updated from the current description of this instance. */
   current(): MemberRecord;
-  /** Hears what others say of this instance; true when it had to contradict. */
-  hear(record: MemberRecord): boolean;
-  /** This process stood still for `pausedMs`; true when it starts a new life over it. */
-  notePause(pausedMs: number): boolean;
+  /** Compares a received record of this instance with its own; returns whether the received one had to be refuted. */
+  reconcile(record: MemberRecord): boolean;
+  /** Records a pause of this process; returns whether it was long enough to start a new life. */
+  recordPause(pausedMs: number): boolean;
+  /** Sets the status to leaving. */
   markLeaving(): void;
-  /** Times that another process's life of the same name had to be overtaken. */
-  overtakenCount(): number;
+  /** Returns how often this process raised its life above that of another process with the same instance id. */
+  idConflictCount(): number;
 }
 
-/** What the own record is made of. */
+/** Options of {@link createSelfRecord}. */
 export interface SelfOptions {
   readonly describeSelf: () => SelfDescription;
-  /** Wall clock at the start of the process. */
+  /** Wall clock time at which the process started. */
   readonly incarnation: number;
   readonly processToken: number;
 }
 
-function isSameLoad(left: MemberRecord, right: SelfDescription): boolean {
+function hasSameLoad(left: MemberRecord, right: SelfDescription): boolean {
   return (
     left.inFlightRequests === right.inFlightRequests &&
     left.configurationVersion === right.configurationVersion &&
@@ -44,20 +46,21 @@
 }
 
 /**
- * Whether others may go on treating this instance as they do. Having a configuration counts, since one without is given
- * no work: told with its load, that it has one now would reach other regions seconds later.
+ * Returns whether peers may treat this instance as before. This depends on whether it has a configuration, since an
+ * instance without one receives no work. If this were only reported with the load, other regions would learn seconds
+ * later that it has one.
  */
-function isSamePlace(left: MemberRecord, right: SelfDescription): boolean {
-  const isConfigured = left.configurationVersion > 0 === right.configurationVersion > 0;
+function hasSameUsability(left: MemberRecord, right: SelfDescription): boolean {
+  const hasSameReadiness = left.configurationVersion > 0 === right.configurationVersion > 0;
   const isSameAddress =
     left.callerAddress === right.callerAddress && left.peerAddress === right.peerAddress;
-  return isConfigured && isSameAddress;
+  return hasSameReadiness && isSameAddress;
 }
 
-/** The record of a process that has just started. */
+/** Creates the record of a process that has just started. */
 export function createSelfRecord(options: SelfOptions): SelfRecord {
   const { describeSelf, processToken } = options;
-  let overtaken = 0;
+  let idConflicts = 0;
   let record: MemberRecord = {
     ...describeSelf(),
     incarnation: options.incarnation,
@@ -72,11 +75,11 @@
     record = { ...record, life, sequence: 0, loadSequence: 0 };
   };
 
-  const hearOfOtherLife = (other: MemberRecord): boolean => {
+  const reconcileOtherLife = (other: MemberRecord): boolean => {
     const isLower =
       other.life < record.life || (other.life === record.life && other.processToken < processToken);
     if (isLower) return false;
-    overtaken += 1;
+    idConflicts += 1;
     startNewLife(other.life + 1);
     return true;
   };
@@ -84,14 +87,14 @@
   return {
     current() {
       const now = describeSelf();
-      const sequence = isSamePlace(record, now) ? record.sequence : record.sequence + 1;
-      const loadSequence = isSameLoad(record, now) ? record.loadSequence : record.loadSequence + 1;
+      const sequence = hasSameUsability(record, now) ? record.sequence : record.sequence + 1;
+      const loadSequence = hasSameLoad(record, now) ? record.loadSequence : record.loadSequence + 1;
       record = { ...record, ...now, sequence, loadSequence };
       return record;
     },
-    hear(other) {
+    reconcile(other) {
       const isOwnLife = other.life === record.life && other.processToken === processToken;
-      if (!isOwnLife) return other.processToken !== processToken && hearOfOtherLife(other);
+      if (!isOwnLife) return other.processToken !== processToken && reconcileOtherLife(other);
       if (other.status === 'dead') {
         startNewLife(record.life + 1);
         return true;
@@ -100,14 +103,14 @@
       record = { ...record, sequence: other.sequence + 1 };
       return true;
     },
-    notePause(pausedMs) {
-      if (pausedMs < NEW_LIFE_AFTER_PAUSE_MS) return false;
+    recordPause(pausedMs) {
+      if (pausedMs < NEW_LIFE_PAUSE_THRESHOLD_MS) return false;
       startNewLife(record.life + 1);
       return true;
     },
     markLeaving() {
       record = { ...record, status: 'leaving', sequence: record.sequence + 1 };
     },
-    overtakenCount: () => overtaken,
+    idConflictCount: () => idConflicts,
   };
 }
--- a/src/core/membership/send-budget.ts
+++ b/src/core/membership/send-budget.ts
@@ -1,29 +1,29 @@
 import { SEND_BURST_BYTES, SEND_BYTES_PER_SECOND } from './timing';
 
 /**
- * Bounds what an instance sends for the view. Without it a return of a whole region, or a slice that makes
- * statements without measure, would fill the links that requests need; one would notice bytes of control
- * rising with the size of the event. What does not fit waits for a later exchange.
+ * Limits the bytes that an instance sends for membership. Without it, the return of a whole region or a component that
+ * makes too many statements would saturate the network links that requests need, and control traffic would grow with
+ * the size of the event. Changes that exceed the budget wait for a later exchange.
  */
 export interface SendBudget {
-  /** Bytes that may be sent now. */
+  /** Returns the number of bytes that may be sent now. */
   availableBytes(nowMs: number): number;
   spend(bytes: number): void;
 }
 
-/** A full budget. */
+/** Creates a budget that is full at `nowMs`. */
 export function createSendBudget(nowMs: number): SendBudget {
-  let savedBytes = SEND_BURST_BYTES;
-  let filledAtMs = nowMs;
+  let storedBytes = SEND_BURST_BYTES;
+  let refilledAtMs = nowMs;
   return {
     availableBytes(atMs) {
-      const earnedBytes = ((atMs - filledAtMs) / 1000) * SEND_BYTES_PER_SECOND;
-      savedBytes = Math.min(SEND_BURST_BYTES, savedBytes + earnedBytes);
-      filledAtMs = atMs;
-      return Math.max(0, savedBytes);
+      const refilledBytes = ((atMs - refilledAtMs) / 1000) * SEND_BYTES_PER_SECOND;
+      storedBytes = Math.min(SEND_BURST_BYTES, storedBytes + refilledBytes);
+      refilledAtMs = atMs;
+      return Math.max(0, storedBytes);
     },
     spend(bytes) {
-      savedBytes -= bytes;
+      storedBytes -= bytes;
     },
   };
 }
--- a/src/core/membership/suspicion-policy.ts
+++ b/src/core/membership/suspicion-policy.ts
@@ -1,67 +1,69 @@
-import { LONGEST_HOLD_OFF_MS, SUSPECT_AFTER_FAILURES, SUSPICION_MS } from './timing';
+import { MAX_SUSPICION_BACKOFF_MS, SUSPECT_AFTER_FAILURES, SUSPICION_TIMEOUT_MS } from './timing';
 
 /**
- * When exchanges that fail become a suspicion that all are told.
+ * Decides when failed exchanges become a suspicion that is broadcast to the fleet.
  *
- * The pattern it answers is a link that fails in one direction or between two places only: the one instance
- * that can't reach another would suspect it, the other deny it over a third, and so on for as long as the link
- * is down, with each round crossing the whole fleet and taking the instance out of use everywhere for a
- * moment. So after each denial the same instance holds off twice as long. It keeps its own work away from the
- * peer all the while, which needs nobody's agreement.
+ * It limits the effect of a link that fails in one direction only or between two places only. The instance that cannot
+ * reach a peer would suspect it, the peer would refute this through a third instance, and so on for as long as the link
+ * is down. Each round would cross the whole fleet and make the peer unusable everywhere for a moment. So after each
+ * refutation the suspecting instance doubles its backoff before it suspects that peer again. In the meantime it sends
+ * the peer none of its own work, which needs no agreement with others.
  */
 export interface SuspicionPolicy {
-  /** An exchange failed; true when the peer should be suspected before all. */
-  noteFailure(instanceId: string, nowMs: number): boolean;
-  noteAnswer(instanceId: string): void;
-  /** A peer that was suspected here denied it. */
-  noteDenial(instanceId: string, nowMs: number): void;
-  /** Whether exchanges from here fail just now, whatever others say. */
+  /** Records a failed exchange; returns whether to broadcast a suspicion of the peer. */
+  recordFailure(instanceId: string, nowMs: number): boolean;
+  /** Resets the failure count of a peer after a successful exchange. */
+  recordReply(instanceId: string): void;
+  /** Records that a peer has refuted a suspicion; starts a backoff if the suspicion came from this instance. */
+  recordRefutation(instanceId: string, nowMs: number): void;
+  /** Returns whether exchanges from this instance currently fail, regardless of what others report. */
   isUnreachable(instanceId: string): boolean;
-  /** After a pause: failures of before prove nothing. */
+  /** Resets the failure counts after a pause of this process, since earlier failures prove nothing then. */
   clearFailures(): void;
+  /** Removes all state of a peer, including its backoff. */
   forget(instanceId: string): void;
 }
 
 interface SuspicionRecord {
   failures: number;
   hasSuspected: boolean;
-  holdOffMs: number;
-  heldUntilMs: number;
+  backoffMs: number;
+  backoffUntilMs: number;
 }
 
-/** A policy that has seen nothing yet. */
+/** Creates a policy without any recorded failures. */
 export function createSuspicionPolicy(): SuspicionPolicy {
   const records = new Map<string, SuspicionRecord>();
 
-  const of = (instanceId: string): SuspicionRecord => {
+  const recordFor = (instanceId: string): SuspicionRecord => {
     const known = records.get(instanceId);
     if (known !== undefined) return known;
-    const fresh = { failures: 0, hasSuspected: false, holdOffMs: 0, heldUntilMs: 0 };
-    records.set(instanceId, fresh);
-    return fresh;
+    const created = { failures: 0, hasSuspected: false, backoffMs: 0, backoffUntilMs: 0 };
+    records.set(instanceId, created);
+    return created;
   };
 
   return {
-    noteFailure(instanceId, nowMs) {
-      const record = of(instanceId);
+    recordFailure(instanceId, nowMs) {
+      const record = recordFor(instanceId);
       record.failures += 1;
-      if (record.failures < SUSPECT_AFTER_FAILURES || nowMs < record.heldUntilMs) return false;
+      if (record.failures < SUSPECT_AFTER_FAILURES || nowMs < record.backoffUntilMs) return false;
       record.hasSuspected = true;
       return true;
     },
-    noteAnswer(instanceId) {
+    recordReply(instanceId) {
       const record = records.get(instanceId);
       if (record !== undefined) record.failures = 0;
     },
-    noteDenial(instanceId, nowMs) {
-      const record = of(instanceId);
+    recordRefutation(instanceId, nowMs) {
+      const record = recordFor(instanceId);
       if (!record.hasSuspected) return;
       record.hasSuspected = false;
-      record.holdOffMs = Math.min(
-        LONGEST_HOLD_OFF_MS,
-        Math.max(SUSPICION_MS, record.holdOffMs * 2),
+      record.backoffMs = Math.min(
+        MAX_SUSPICION_BACKOFF_MS,
+        Math.max(SUSPICION_TIMEOUT_MS, record.backoffMs * 2),
       );
-      record.heldUntilMs = nowMs + record.holdOffMs;
+      record.backoffUntilMs = nowMs + record.backoffMs;
     },
     isUnreachable: (instanceId) =>
       (records.get(instanceId)?.failures ?? 0) >= SUSPECT_AFTER_FAILURES,
--- a/src/core/membership/timing.ts
+++ b/src/core/membership/timing.ts
@@ -1,65 +1,69 @@
-/** Times and bounds of membership, in one place because they rest on one another. */
+/** Intervals, timeouts and limits of membership, in one place because they depend on one another. */
 
 /**
- * Rest between two exchanges with one partner. With four partners each way an instance takes part in four
- * exchanges a second, which leaves most of its 3 KB/s to what they carry.
+ * Interval between exchanges with one partner, ms. With four partners in each direction, an instance takes part in four
+ * exchanges a second, which leaves most of its 3 KB/s for their content.
  */
 export const EXCHANGE_INTERVAL_MS = 2_000;
 
-/** Least time between two exchanges with one partner, when news prompts one before its time. */
-export const PROMPTED_GAP_MS = 100;
+/** Minimum time between two exchanges with one partner when an update triggers one early, ms. */
+export const MIN_EXCHANGE_GAP_MS = 100;
 
-/** Rest before the second try with a partner that did not answer. */
-export const RETRY_AFTER_MS = 300;
+/** Delay before the first retry with a partner that did not reply, ms. */
+export const RETRY_DELAY_MS = 300;
 
-/** Tries that must fail in a row before a partner is suspected: one lost connection is no crash. */
+/** Number of consecutive failed exchanges after which a partner is suspected; a single one may be a lost connection. */
 export const SUSPECT_AFTER_FAILURES = 2;
 
 /**
- * Time in which a suspect can deny it. News crosses the fleet in well under a second, so this leaves several
- * rounds for the suspicion to reach the instance and for its denial to come back over another way.
+ * Time that a suspected member has to refute the suspicion, ms. Updates cross the fleet in well under a second, so this
+ * leaves several rounds for the suspicion to reach the member and for its refutation to come back over another path.
  */
-export const SUSPICION_MS = 4_000;
+export const SUSPICION_TIMEOUT_MS = 4_000;
 
-/** Longest time for which one instance keeps from suspecting again a member that keeps denying it. */
-export const LONGEST_HOLD_OFF_MS = 120_000;
+/** Maximum backoff before an instance again suspects a member that keeps refuting the suspicion, ms. */
+export const MAX_SUSPICION_BACKOFF_MS = 120_000;
 
-/** A gap between two ticks that is longer than this means that this process itself stood still. */
-export const PAUSE_MS = 2_500;
+/** A gap between two ticks that exceeds this means that this process itself was paused, ms. */
+export const PAUSE_THRESHOLD_MS = 2_500;
 
-/** A pause after which others will have held this instance for dead; it comes back as a new life. */
-export const NEW_LIFE_AFTER_PAUSE_MS = 6_000;
+/** Pause after which others have declared this instance dead, so that it returns as a new life, ms. */
+export const NEW_LIFE_PAUSE_THRESHOLD_MS = 6_000;
 
-/** Rest between two looks at what has fallen due. */
-export const TICK_MS = 500;
+/** Interval at which timeouts of members are checked, ms. */
+export const TICK_INTERVAL_MS = 500;
 
-/** How long a dead instance stays in the view, so that late statements of others meet the news of its death. */
-export const FORGET_DEAD_AFTER_MS = 600_000;
+/** Time for which a dead member stays in the view, so that peers with outdated records learn that it is dead, ms. */
+export const DEAD_MEMBER_RETENTION_MS = 600_000;
 
-/** How long the life of a forgotten instance is remembered, so that nothing stale brings it back. */
-export const REMEMBER_FORGOTTEN_MS = 86_400_000;
+/** Time for which the life of a forgotten member is remembered, so that no stale record brings it back, ms. */
+export const FORGOTTEN_LIFE_RETENTION_MS = 86_400_000;
 
-/** Rest between two tries to reach someone outside the view: seeds, the dead. */
+/** Interval between attempts to reach seeds, dead members and members of other regions, ms. */
 export const EXPLORE_INTERVAL_MS = 5_000;
 
 /**
- * The same while nobody is known, in the first seconds of a process: instances that start together again find one
- * another within a round trip of the last one's start. Until then callers whose requests belong to another region are
- * refused.
+ * Interval between such attempts in the first seconds of a process that knows no other instance, ms. It lets instances
+ * that restart together find one another within a round trip after the last of them has started. Until then, requests
+ * of callers that belong to another region are refused.
  */
-export const ALONE_RETRY_MS = 150;
-/** Time for which such quick tries go on; whoever is not there by then is not about to start, ms. */
-export const ALONE_QUICK_FOR_MS = 5_000;
+export const ALONE_RETRY_INTERVAL_MS = 150;
+/** Time for which these quick retries go on, ms; an instance that is not up by then is not expected to start soon. */
+export const ALONE_RETRY_DURATION_MS = 5_000;
 
-/** Load is restated more rarely the more members a region has, so that its bytes do not grow with them. */
+/**
+ * The interval between load statements grows by this much per member of the region, ms, so that the traffic for load
+ * does not grow with the number of members.
+ */
 export const LOAD_INTERVAL_PER_MEMBER_MS = 100;
-export const SHORTEST_LOAD_INTERVAL_MS = 1_000;
+/** Minimum interval between load statements, ms. */
+export const MIN_LOAD_INTERVAL_MS = 1_000;
 
-/** Bytes that an instance may send for the view each second, and the most that it may save up. */
+/** Bytes per second that an instance may send for membership, and the maximum of unused bytes that it may save up. */
 export const SEND_BYTES_PER_SECOND = 1_500;
 export const SEND_BURST_BYTES = 262_144;
 
-/** Shares of one message. */
-export const MEMBER_BYTES_PER_MESSAGE = 32_768;
-export const LOAD_BYTES_PER_MESSAGE = 900;
-export const STATEMENT_BYTES_PER_MESSAGE = 1_200;
+/** Maximum bytes of each kind of content in one message. */
+export const MAX_MEMBER_BYTES_PER_MESSAGE = 32_768;
+export const MAX_LOAD_BYTES_PER_MESSAGE = 900;
+export const MAX_STATEMENT_BYTES_PER_MESSAGE = 1_200;
--- a/src/core/membership/types.ts
+++ b/src/core/membership/types.ts
@@ -1,12 +1,12 @@
-/** How an instance stands, as far as this one knows. */
+/** Status of an instance as known to this one. */
 export type MemberStatus = 'alive' | 'suspect' | 'leaving' | 'dead';
 
-/** One instance as it describes itself, or as others have it. */
+/** State of an instance, as described by itself or as known to others. */
 export interface MemberState {
   readonly instanceId: string;
-  /** Names the process: the wall clock at its start, which stays the same while it runs. */
+  /** Wall clock time at which the process started; identifies the process and does not change while it runs. */
   readonly incarnation: number;
-  /** Rises with each statement of one life about its liveness. */
+  /** Increases with each change that the instance makes to its own liveness within one life. */
   readonly sequence: number;
   readonly region: string;
   readonly failureDomain: string;
@@ -17,63 +17,65 @@
   readonly inFlightRequests: number;
 }
 
-/** The part of a member that changes all the time and spreads apart from the rest. */
+/** Frequently changing fields of a member record, which spread separately from the others. */
 export interface LoadState {
-  /** Rises with each statement of load within a life. */
+  /** Increases with each change of load within one life. */
   readonly loadSequence: number;
   readonly inFlightRequests: number;
   readonly configurationVersion: number;
-  /** First 32 bits of the SHA-256 of that version's root. */
+  /** First 32 bits of the SHA-256 of the configuration version's root. */
   readonly configurationDigest: number;
-  /** When that version came into force there, by that machine's clock. */
+  /** Time at which the configuration version took effect on that instance, by its machine's clock. */
   readonly configurationSinceUnixMs: number;
-  /** Whether an instance that was there before vouched for that version. */
+  /** Whether an instance that was already running confirmed the configuration version. */
   readonly configurationConfirmed: boolean;
-  /** Whether the instance reads the configuration service with success just now. */
+  /** Whether the instance currently reads the configuration service successfully. */
   readonly watching: boolean;
 }
 
-/** All that instances tell one another about a member. */
+/** Complete record of a member, as instances exchange it. */
 export interface MemberRecord extends MemberState, LoadState {
-  /** Orders the lives of one name: rises with each start and with each return from being held dead. */
+  /** Orders the lives of one instance id: increases with each start and each return after being considered dead. */
   readonly life: number;
-  /** Drawn at random by each process; tells two processes of one name apart. Unsigned 32 bits. */
+  /** Random unsigned 32-bit number drawn by each process; distinguishes two processes with one instance id. */
   readonly processToken: number;
 }
 
-/** A load statement as it spreads: the member is named by a hash. */
+/** Load statement as it is sent to other instances. */
 export interface LoadStatement extends LoadState {
+  /** Hash of the member's instance id, life and process token. */
   readonly memberKey: number;
-  /** Whether it goes on to other regions, which need load more rarely. */
+  /** Whether the statement is also sent to other regions, which need load updates less often. */
   readonly wide: boolean;
 }
 
-/** What an instance says of itself; membership fills in the rest. */
+/** Description of an instance by itself; membership adds the remaining fields. */
 export type SelfDescription = Omit<
   MemberRecord,
   'incarnation' | 'life' | 'sequence' | 'status' | 'loadSequence' | 'processToken'
 >;
 
-/** The fleet as this instance sees it. */
+/** View of the fleet from this instance. */
 export interface MembershipView {
   /** This instance. */
   self(): MemberState;
-  /** All instances known, this one included, whatever their status. */
+  /** Returns all known instances of any status, including this one. */
   members(): readonly MemberState[];
-  /** Other instances that may be given work. */
+  /** Returns the other instances that may receive work. */
   usablePeers(): readonly MemberState[];
 }
 
-/** A change of another instance's liveness. */
+/** Change of another instance's liveness. */
 export interface MemberChange {
   readonly member: MemberRecord;
-  /** Undefined for an instance heard of for the first time. */
+  /** Undefined for an instance that was unknown before. */
   readonly previousStatus: MemberStatus | undefined;
-  /** A replaced or woken instance: nothing that was known of the former life holds. */
+  /** Whether the instance was replaced or has resumed after a pause, so that its former state no longer applies. */
   readonly isNewLife: boolean;
 }
 
-/** Tells of changes of liveness as they are learned. */
+/** Source of liveness changes. */
 export interface MembershipChanges {
+  /** Calls back for each change of another instance's liveness. */
   onChange(listener: (change: MemberChange) => void): Disposable;
 }
--- a/src/core/membership/view.ts
+++ b/src/core/membership/view.ts
@@ -3,37 +3,39 @@
 import { composePortion } from './compose-message';
 import type { MessageLogs } from './compose-message';
 import type { Cursors, ExchangeMessage } from './messages';
-import { NO_CURSORS, STANDING_HASH_BYTES } from './messages';
+import { START_CURSORS, LIVENESS_HASH_BYTES } from './messages';
 import { xorHashes } from '../hashing';
-import type { PeerLink, SentState } from './peer-link';
+import type { PeerLink, RequestState } from './peer-link';
 import type { SelfRecord } from './self-record';
 import { createSendBudget } from './send-budget';
-import { memberKey, livenessDigest } from './liveness-digest';
-import { LOAD_INTERVAL_PER_MEMBER_MS, SHORTEST_LOAD_INTERVAL_MS } from './timing';
+import { memberKey, livenessHash } from './liveness-digest';
+import { LOAD_INTERVAL_PER_MEMBER_MS, MIN_LOAD_INTERVAL_MS } from './timing';
 import type { MemberChange, MemberRecord } from './types';
 import type { GossipStore } from '../gossip';
 
 /**
- * The view of one instance with its messages: reads them, writes them, restates its own load. No sockets, no
- * timers; the tasks beside it only carry messages.
+ * Membership view of one instance: applies received messages, composes messages to send and publishes its own load. It
+ * has no sockets or timers; membership sends and receives the messages and passes in the time.
  */
 export interface View {
   readonly table: MemberTable;
-  /** Reads a message and says whether this instance had to contradict what it heard of itself. */
-  read(message: ExchangeMessage, nowMs: number): boolean;
+  /** Applies a message; returns whether it held a record of this instance that had to be refuted. */
+  applyMessage(message: ExchangeMessage, nowMs: number): boolean;
+  /** Composes the request for the next exchange over `link`. */
   writeRequest(link: PeerLink, nowMs: number, nowUnixMs: number): WrittenRequest;
-  writeAnswer(request: ExchangeMessage, nowMs: number, nowUnixMs: number): ExchangeMessage;
-  /** Puts the own load among what spreads, if it is time. */
-  restateLoad(nowMs: number): void;
+  /** Composes the reply to a request that has been applied. */
+  writeReply(request: ExchangeMessage, nowMs: number, nowUnixMs: number): ExchangeMessage;
+  /** Publishes the own load to the load log if it is due. */
+  publishLoad(nowMs: number): void;
 }
 
-/** A request with what its sender remembers of it. */
+/** Request message, together with the sender's state at that time. */
 export interface WrittenRequest {
   readonly message: ExchangeMessage;
-  readonly sent: SentState;
+  readonly senderState: RequestState;
 }
 
-/** What a view is made from. */
+/** Options of {@link createView}. */
 export interface ViewOptions {
   readonly self: SelfRecord;
   readonly gossip: GossipStore;
@@ -42,27 +44,28 @@
 }
 
 /**
- * One load statement in this many regions' worth goes to other regions: they route whole requests there by
- * what peers answer, and need load only to tell the idle from the full.
+ * Reduces how often load statements go to other regions: one statement in this many times the ratio of fleet size to
+ * region size does. Other regions forward whole requests depending on the replies of peers, and need load only to
+ * distinguish idle instances from full ones.
  */
 const WIDE_LOAD_RATIO = 2;
 
-interface LoadPace {
+interface LoadSchedule {
   readonly intervalMs: number;
-  /** Each how many-th statement goes to other regions. */
+  /** Every n-th statement also goes to other regions. */
   readonly wideEvery: number;
 }
 
-function loadPace(self: MemberRecord, others: readonly MemberRecord[]): LoadPace {
-  const living = others.filter((member) => member.status !== 'dead');
-  const near = living.filter((member) => member.region === self.region).length + 1;
+function loadSchedule(self: MemberRecord, others: readonly MemberRecord[]): LoadSchedule {
+  const liveOthers = others.filter((member) => member.status !== 'dead');
+  const membersInRegion = liveOthers.filter((member) => member.region === self.region).length + 1;
   return {
-    intervalMs: Math.max(SHORTEST_LOAD_INTERVAL_MS, near * LOAD_INTERVAL_PER_MEMBER_MS),
-    wideEvery: Math.ceil((WIDE_LOAD_RATIO * (living.length + 1)) / near),
+    intervalMs: Math.max(MIN_LOAD_INTERVAL_MS, membersInRegion * LOAD_INTERVAL_PER_MEMBER_MS),
+    wideEvery: Math.ceil((WIDE_LOAD_RATIO * (liveOthers.length + 1)) / membersInRegion),
   };
 }
 
-/** A view that knows nobody. */
+/** Creates a view that knows no other instance. */
 export function createView(options: ViewOptions): View {
   const { self, gossip, onChange } = options;
   const table = createMemberTable(onChange);
@@ -72,44 +75,44 @@
     loads: table.loadLog,
     statements: gossip.log,
   };
-  let restatedAtMs = options.nowMs;
-  let restatedLoadSequence = -1;
+  let publishedAtMs = options.nowMs;
+  let publishedLoadSequence = -1;
   let wideLoadSequence = -1;
-  let restatedCount = 0;
+  let publishedCount = 0;
 
   const tips = (): Cursors => ({
     members: logs.members.tip(),
     loads: logs.loads.tip(),
     statements: logs.statements.tip(),
   });
-  const viewDigest = () => xorHashes(table.digest(), livenessDigest(self.current()));
+  const viewDigest = () => xorHashes(table.digest(), livenessHash(self.current()));
 
   const knownLiveness = (): readonly number[] => {
-    const hashes = [self.current(), ...table.others()].map(livenessDigest);
-    budget.spend(hashes.length * STANDING_HASH_BYTES);
+    const hashes = [self.current(), ...table.others()].map(livenessHash);
+    budget.spend(hashes.length * LIVENESS_HASH_BYTES);
     return hashes;
   };
 
-  const readMember = (record: MemberRecord, learnedFrom: string, nowMs: number): boolean => {
-    if (record.instanceId === self.current().instanceId) return self.hear(record);
-    table.takeIn(record, learnedFrom, nowMs);
+  const applyMember = (record: MemberRecord, learnedFrom: string, nowMs: number): boolean => {
+    if (record.instanceId === self.current().instanceId) return self.reconcile(record);
+    table.applyRecord(record, learnedFrom, nowMs);
     return false;
   };
 
   return {
     table,
-    read(message, nowMs) {
+    applyMessage(message, nowMs) {
       const { from } = message;
       const learnedFrom = from.instanceId;
-      const heard = [from, ...message.members].map((record) =>
-        readMember(record, learnedFrom, nowMs),
+      const refutations = [from, ...message.members].map((record) =>
+        applyMember(record, learnedFrom, nowMs),
       );
       const ownKey = memberKey(self.current());
       for (const load of message.loads) {
-        if (load.memberKey !== ownKey) table.takeInLoad(load, learnedFrom);
+        if (load.memberKey !== ownKey) table.applyLoad(load, learnedFrom);
       }
       gossip.receive(message.statements, learnedFrom);
-      return heard.includes(true);
+      return refutations.includes(true);
     },
     writeRequest(link, nowMs, nowUnixMs) {
       const isKnown = link.sent !== undefined;
@@ -121,33 +124,33 @@
         budget,
         nowMs,
         nowUnixMs,
-        withLoads: isKnown,
-        knownLiveness: link.peerKnows,
+        includesLoads: isKnown,
+        knownLiveness: link.livenessKnownToPeer,
       });
-      const about = link.instanceId === undefined ? undefined : table.get(link.instanceId);
-      const isDoubted = about?.status === 'suspect' || about?.status === 'dead';
+      const knownRecord = link.instanceId === undefined ? undefined : table.get(link.instanceId);
+      const isSuspectOrDead = knownRecord?.status === 'suspect' || knownRecord?.status === 'dead';
       const message: ExchangeMessage = {
         ...portion,
         from: self.current(),
         haveOfProcess: link.processToken,
         have: link.have,
         viewDigest: viewDigest(),
-        members: isDoubted ? [about, ...portion.members] : portion.members,
+        members: isSuspectOrDead ? [knownRecord, ...portion.members] : portion.members,
         knownLiveness: link.isCatchingUp ? knownLiveness() : [],
       };
       return {
         message,
-        sent: { upTo: portion.upTo, tips: tips(), viewDigest: message.viewDigest },
+        senderState: { upTo: portion.upTo, tips: tips(), viewDigest: message.viewDigest },
       };
     },
-    writeAnswer(request, nowMs, nowUnixMs) {
+    writeReply(request, nowMs, nowUnixMs) {
       const own = self.current();
       const { from } = request;
-      const isOwnProcess = request.haveOfProcess === own.processToken;
-      const have = isOwnProcess ? request.have : NO_CURSORS;
-      const isSameView = request.viewDigest === viewDigest();
+      const isThisProcess = request.haveOfProcess === own.processToken;
+      const have = isThisProcess ? request.have : START_CURSORS;
+      const hasSameView = request.viewDigest === viewDigest();
       const cursors =
-        isSameView && have.members === 0 ? { ...have, members: logs.members.tip() } : have;
+        hasSameView && have.members === 0 ? { ...have, members: logs.members.tip() } : have;
       const portion = composePortion(logs, {
         recipient: from,
         ownRegion: own.region,
@@ -155,35 +158,34 @@
         budget,
         nowMs,
         nowUnixMs,
-        withLoads: false,
+        includesLoads: false,
         knownLiveness: new Set(request.knownLiveness),
       });
-      const contradiction = table.contradiction(from);
-      const isFirst = !isOwnProcess && !isSameView;
+      const correction = table.correctionFor(from);
+      const isNewLink = !isThisProcess && !hasSameView;
       return {
         ...portion,
         from: own,
         haveOfProcess: 0,
-        have: NO_CURSORS,
+        have: START_CURSORS,
         viewDigest: viewDigest(),
-        knownLiveness: isFirst ? knownLiveness() : [],
-        members:
-          contradiction === undefined ? portion.members : [contradiction, ...portion.members],
+        knownLiveness: isNewLink ? knownLiveness() : [],
+        members: correction === undefined ? portion.members : [correction, ...portion.members],
       };
     },
-    restateLoad(nowMs) {
+    publishLoad(nowMs) {
       const own = self.current();
-      const { intervalMs, wideEvery } = loadPace(own, table.others());
-      const isDue = nowMs - restatedAtMs >= intervalMs;
-      const isNews = own.loadSequence !== restatedLoadSequence;
-      const isNewsElsewhere = own.loadSequence !== wideLoadSequence;
-      if (!isDue || (!isNews && !isNewsElsewhere)) return;
-      restatedAtMs = nowMs;
-      restatedCount += 1;
-      const wide = restatedCount % wideEvery === 0;
-      // A load that stays as it is after one statement still has to reach the other regions, in its turn.
-      if (!isNews && !wide) return;
-      restatedLoadSequence = own.loadSequence;
+      const { intervalMs, wideEvery } = loadSchedule(own, table.others());
+      const isDue = nowMs - publishedAtMs >= intervalMs;
+      const isChanged = own.loadSequence !== publishedLoadSequence;
+      const isChangedForOtherRegions = own.loadSequence !== wideLoadSequence;
+      if (!isDue || (!isChanged && !isChangedForOtherRegions)) return;
+      publishedAtMs = nowMs;
+      publishedCount += 1;
+      const wide = publishedCount % wideEvery === 0;
+      // A load that stays the same after one statement must still reach the other regions with the next wide one.
+      if (!isChanged && !wide) return;
+      publishedLoadSequence = own.loadSequence;
       if (wide) wideLoadSequence = own.loadSequence;
       table.loadLog.append(
         own.instanceId,
--- a/src/core/relay-node/create-serving.ts
+++ b/src/core/relay-node/create-serving.ts
@@ -16,8 +16,8 @@
 import type { KnownInstances } from './known-instances';
 import type { RelaySettings } from './settings';
 
-/** What the serving of requests is put together from. */
-export interface ServingOptions {
+/** Options of {@link createServing}. */
+export interface ServingContextOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
@@ -30,26 +30,27 @@
   readonly gossip: GossipBoard;
   readonly metrics: Metrics;
   readonly instances: KnownInstances;
-  /** Sends a statement of this instance's load to another one of its region. */
+  /** Sends a statement of this instance's load to another instance of its region. */
   readonly sendStatement: (address: string, text: string) => void;
-  /** Monotonic time since which all that is published has been followed; undefined while it is not. */
+  /** Monotonic time since which the published state has been followed without a gap; undefined while it is not. */
   readonly followedSinceMs: () => number | undefined;
 }
 
 /**
- * When a request that crashes servers is refused, and for how long. A third crash rather than the second one, since a
- * whole domain may go down within the time in which a request that was cut off there is tried again at its neighbour.
+ * Limits after which a request that crashes servers is refused. It takes three crashes rather than two, since a whole
+ * failure domain may fail: a request that was interrupted there is then retried on a neighbouring server, which fails
+ * as well, although the request is not the cause.
  */
-const CRASH_OPTIONS: PoisonOptions = {
+const POISON_OPTIONS: PoisonOptions = {
   crashesToRefuse: 3,
-  // As the product's own configuration has it: long enough for somebody to look, doubled with each further crash.
+  // Same as the default of the configuration: long enough for an operator to investigate, doubled per further crash.
   refuseForMs: 900_000,
   refuseAtMostMs: 86_400_000,
 };
 
-function countInto(metrics: Metrics) {
+function createRequestCounter(metrics: Metrics) {
   return ({ plan, result, firstByteMs, totalMs, attempts }: ServedRequest): void => {
-    // One that another instance sent here is counted there, with what this one tells of it.
+    // The instance that forwarded a request counts its attempts, including those that this one reports to it.
     if (!plan.isForwarded) metrics.attempts(plan.route, attempts);
     if (result === 'answered') metrics.answered(plan.route, firstByteMs, totalMs);
     else if (result === 'brokenOff') metrics.cutShort(plan.route);
@@ -58,25 +59,28 @@
   };
 }
 
-/** What serves requests, and what keeps it from growing. */
-export interface Serving extends ServeDependencies {
-  /** Forgets servers that have gone. */
-  forgetGone(): void;
-  /** Takes a statement of another instance's load. */
-  takeStatement(text: string): void;
-  /** Tells the others of this instance's load, if it is time. */
-  tellLoad(): void;
+/** Dependencies of request handling, with the operations that keep their state up to date. */
+export interface ServingContext extends ServeDependencies {
+  /** Drops the state of servers that are no longer registered, which would otherwise accumulate. */
+  forgetRemovedServers(): void;
+  /** Applies a load statement received from another instance. */
+  receiveLoadStatement(text: string): void;
+  /** Sends this instance's load to the other instances of its region if it is due. */
+  sendLoad(): void;
 }
 
-/** Puts together what serves requests; `owned` releases what must be released. */
-export function createServing(options: ServingOptions, owned: DisposableStore): Serving {
+/** Creates the dependencies of request handling; those that need disposal are added to `owned`. */
+export function createServingContext(
+  options: ServingContextOptions,
+  owned: DisposableStore,
+): ServingContext {
   const { clock, random, logger, dialect, routes, servers, pool, gossip, instances } = options;
   const { instanceId, region } = options.settings();
-  const others = createLoadBoard();
-  const read = createReadNotes();
+  const loadBoard = createLoadBoard();
+  const readParts = createReadNotes();
   const router = createRouter({
-    others,
-    onRead: read.note,
+    others: loadBoard,
+    onRead: readParts.note,
     region,
     routes,
     servers,
@@ -84,16 +88,16 @@
     coldGate: createColdGate({
       selfId: instanceId,
       startedAtMs: clock.monotonicMs(),
-      instancesInRegion: instances.perhapsAliveInRegion,
+      instancesInRegion: instances.possiblyAliveInRegion,
     }),
     peers: instances.peers,
     instancesInRegion: instances.countInRegion,
     draw: () => random.next(),
   });
-  const teller = createLoadTeller({
+  const loadSender = createLoadTeller({
     selfId: instanceId,
     servers: router.loads.ownWork,
-    read,
+    read: readParts,
     addresses: () =>
       instances
         .peers()
@@ -109,7 +113,7 @@
       logger,
       gossip,
       key: fingerprintKey(options.peerSecret),
-      options: () => CRASH_OPTIONS,
+      options: () => POISON_OPTIONS,
     }),
   );
   const crashWatch = createCrashWatch({
@@ -128,23 +132,23 @@
     crashWatch,
     retries,
     onReplaced: servers.noteReplaced,
-    onDone: countInto(options.metrics),
+    onDone: createRequestCounter(options.metrics),
     onRefused: (reason, service) => options.metrics.refused(reason, service),
-    takeStatement(text) {
+    receiveLoadStatement(text) {
       const statement = readStatement(text);
       if (statement === undefined) return;
-      others.take(statement, clock.monotonicMs());
+      loadBoard.take(statement, clock.monotonicMs());
       router.noteReadForOthers(statement.read);
     },
-    tellLoad() {
+    sendLoad() {
       const nowMs = clock.monotonicMs();
-      others.dropOld(nowMs);
-      teller.tell(nowMs);
+      loadBoard.dropOld(nowMs);
+      loadSender.tell(nowMs);
     },
-    forgetGone() {
-      const known = new Set(servers.all().map((server) => server.incarnationId));
-      router.keepOnly(known);
-      warmCheck.keepOnly(known);
+    forgetRemovedServers() {
+      const knownIds = new Set(servers.all().map((server) => server.incarnationId));
+      router.keepOnly(knownIds);
+      warmCheck.keepOnly(knownIds);
     },
   };
 }
--- a/src/core/relay-node/exchange-calls.ts
+++ b/src/core/relay-node/exchange-calls.ts
@@ -4,16 +4,16 @@
 import { readExchange, writeExchange } from '../membership';
 import type { ExchangeMessage, MembershipTransport } from '../membership';
 
-/** Path on the listener for membership that takes exchanges. */
+/** Path of membership exchanges on the listener for membership. */
 export const EXCHANGE_PATH = '/exchange';
 
-/** Longest wait for the answer to an exchange, ms: several round trips between the farthest regions. */
+/** Timeout of an exchange, ms; allows several round trips between the most distant regions. */
 const EXCHANGE_TIMEOUT_MS = 1_000;
 const OK = 200;
 const BAD_REQUEST = 400;
 
-/** Membership's exchanges as calls. */
-export function createExchangeCalls(
+/** Creates a membership transport that sends each exchange as an HTTP call. */
+export function createExchangeTransport(
   clock: Clock,
   caller: Caller,
   stopping: AbortSignal,
@@ -39,8 +39,8 @@
   };
 }
 
-/** Answers exchanges of others with what `receive` says. */
-export function answerExchanges(
+/** Creates the handler of exchanges from other instances; `receive` returns the reply. */
+export function createExchangeHandler(
   receive: (message: ExchangeMessage) => ExchangeMessage,
 ): CallHandler {
   return ({ text }) => {
--- a/src/core/relay-node/fetch-peer-state.ts
+++ b/src/core/relay-node/fetch-peer-state.ts
@@ -5,30 +5,30 @@
 import { readSnapshot, STATE_SYNC_EVENTS } from '../state-sync';
 import type { PublishedState } from '../state-sync';
 
-/** Path on the listener for other instances under which published state is handed out. */
+/** Path on the listener for other instances that returns the published state. */
 export const STATE_PATH = '/state';
 
-/** Path on the same listener that answers at once, whatever the state. */
-export const HERE_PATH = '/here';
+/** Path on the same listener that replies immediately, whatever state the instance is in. */
+export const PING_PATH = '/here';
 
-/** Time for an instance of another region to answer, ms. */
-const ANSWER_TIMEOUT_MS = 1_000;
+/** Timeout for the reply of an instance, which may be in another region, ms. */
+const REPLY_TIMEOUT_MS = 1_000;
 const OK = 200;
 
-/** What fetching needs. */
-export interface FetchNeeds {
+/** Dependencies of {@link fetchPeerState}. */
+export interface FetchPeerStateDependencies {
   readonly clock: Clock;
   readonly logger: Logger;
   readonly caller: Caller;
 }
 
-/** Published state as the instance at `address` holds it; undefined where it does not answer. */
+/** Fetches the published state that the instance at `address` holds; undefined if it has none or does not reply. */
 export async function fetchPeerState(
-  { clock, logger, caller }: FetchNeeds,
+  { clock, logger, caller }: FetchPeerStateDependencies,
   address: string,
   signal: AbortSignal,
 ): Promise<PublishedState | undefined> {
-  const answerByMs = clock.monotonicMs() + ANSWER_TIMEOUT_MS;
+  const answerByMs = clock.monotonicMs() + REPLY_TIMEOUT_MS;
   try {
     const { status, text } = await caller.call(
       address,
--- a/src/core/relay-node/index.ts
+++ b/src/core/relay-node/index.ts
@@ -1,4 +1,4 @@
-/** An instance that passes requests through to backend servers that announce themselves. */
+/** Instance that passes requests through to backend servers, which register themselves. */
 export { RELAY_NODE_EVENTS } from './events';
 export { relaySettingsSchema } from './settings';
 export type { RelaySettings } from './settings';
--- a/src/core/relay-node/known-instances.ts
+++ b/src/core/relay-node/known-instances.ts
@@ -2,25 +2,25 @@
 import type { ForwardPeer } from '../pass-through';
 import type { RelayInstance } from '../state-relay';
 
-/** The other instances, as this one may use them. */
+/** The known instances, filtered by the purposes for which this instance may use them. */
 export interface KnownInstances {
-  /** Those that can serve requests that are sent on to them. */
+  /** Other instances that can serve forwarded requests. */
   peers(): readonly ForwardPeer[];
-  /** Those that may watch the source of published state for this one. */
-  perhapsWatching(): readonly RelayInstance[];
-  /** Those that are in use, this one included. */
+  /** Other instances of this region that could watch the source of published state on behalf of this one. */
+  potentialWatchers(): readonly RelayInstance[];
+  /** Number of usable instances, including this one. */
   count(): number;
-  /** Those of this region that are in use, this one included. */
+  /** Number of usable instances in this region, including this one. */
   countInRegion(): number;
-  /** Those of this region that may be alive, this one and those under suspicion included. */
-  perhapsAliveInRegion(): readonly string[];
+  /** Ids of the instances in this region that may be alive, including this one and suspected ones. */
+  possiblyAliveInRegion(): readonly string[];
 }
 
-/** What the view is made from. */
+/** Options of {@link createKnownInstances}. */
 export interface KnownInstancesOptions {
   readonly membership: Membership;
   readonly region: string;
-  /** Port on which all instances take forwarded requests. */
+  /** Port on which all instances accept forwarded requests. */
   readonly forwardingPort: () => number;
 }
 
@@ -28,7 +28,7 @@
   return address.slice(0, address.lastIndexOf(':'));
 }
 
-/** A view over the membership. */
+/** Derives the known instances from the membership. */
 export function createKnownInstances(options: KnownInstancesOptions): KnownInstances {
   const { membership, region, forwardingPort } = options;
   const forwardAddress = (member: MemberState) =>
@@ -40,13 +40,13 @@
     inFlightRequests: member.inFlightRequests,
   });
   return {
-    // One that has no routes yet would refuse what it is sent.
+    // An instance that has no routes yet would refuse forwarded requests.
     peers: () =>
       membership
         .usablePeers()
         .filter((member) => member.configurationVersion > 0)
         .map(toPeer),
-    perhapsWatching: () =>
+    potentialWatchers: () =>
       membership
         .usablePeers()
         .filter((member) => member.region === region && member.configurationVersion > 0)
@@ -58,7 +58,7 @@
     count: () => membership.usablePeers().length + 1,
     countInRegion: () =>
       membership.usablePeers().filter((member) => member.region === region).length + 1,
-    perhapsAliveInRegion: () =>
+    possiblyAliveInRegion: () =>
       membership
         .members()
         .filter((member) => member.region === region)
--- a/src/core/relay-node/plan-stop.test.ts
+++ b/src/core/relay-node/plan-stop.test.ts
@@ -2,8 +2,8 @@
 import { describe, it } from 'node:test';
 import { planStop } from './plan-stop';
 
-// The platform stops an instance. Callers learn of it seconds later and go on sending; what they send has to be
-// answered, and nothing that is under way may be cut before the process is ended by force.
+// After the platform signals an instance to stop, callers keep sending for some seconds until they learn of it. Those
+// requests must be answered, and no open request may be cut off before the process is about to be killed.
 describe('a planned stop of 8 s', () => {
   const cases: readonly (readonly [number, number, ReturnType<typeof planStop>])[] = [
     [0, 0, 'serve'],
--- a/src/core/relay-node/plan-stop.ts
+++ b/src/core/relay-node/plan-stop.ts
@@ -1,26 +1,27 @@
-/** What a stopping instance does at a moment. */
+/** Step of a planned stop: serve new requests, refuse them, or exit. */
 export type StopStep = 'serve' | 'refuse' | 'exit';
 
-/** What the step depends on. */
+/** Input of {@link planStop}. */
 export interface StopInput {
   /** Time since the signal to stop, ms. */
   readonly sinceSignalMs: number;
-  /** Time between the signal and the end by force, ms. */
+  /** Time between the signal and the moment at which the process is killed, ms. */
   readonly stopWithinMs: number;
   readonly openRequests: number;
 }
 
 /**
- * Part of the time in which requests are still served: callers learn seconds late that an instance is leaving,
- * and one that closed at once would refuse what they send until then. What comes later might not be finished.
+ * Fraction of the stop time in which new requests are still served. Callers learn only after some seconds that an
+ * instance is leaving; closing at once would refuse what they send until then. Requests that arrive later might not
+ * finish in time.
  */
-const SERVE_SHARE = 0.36;
-/** Part of the time after which open requests are cut rather than being cut by force in the midst of a write. */
-const CUT_SHARE = 0.93;
+const SERVE_FRACTION = 0.36;
+/** Fraction of the stop time after which the instance exits by itself, so that it is not killed during a write. */
+const EXIT_FRACTION = 0.93;
 
-/** Decides how a planned stop goes on. */
+/** Returns the current step of a planned stop. */
 export function planStop({ sinceSignalMs, stopWithinMs, openRequests }: StopInput): StopStep {
-  if (sinceSignalMs >= stopWithinMs * CUT_SHARE) return 'exit';
-  if (sinceSignalMs < stopWithinMs * SERVE_SHARE) return 'serve';
+  if (sinceSignalMs >= stopWithinMs * EXIT_FRACTION) return 'exit';
+  if (sinceSignalMs < stopWithinMs * SERVE_FRACTION) return 'serve';
   return openRequests === 0 ? 'exit' : 'refuse';
 }
--- a/src/core/relay-node/repeat.ts
+++ b/src/core/relay-node/repeat.ts
@@ -1,13 +1,13 @@
 import { sleepUntil } from '../clock';
 import type { Clock } from '../clock';
 
-/** Does something at once and then again and again, with a rest in between, until it is disposed of. */
-export function repeat(clock: Clock, restMs: number, action: () => void): Disposable {
+/** Runs `action` at once and then at an interval until disposed. */
+export function repeat(clock: Clock, intervalMs: number, action: () => void): Disposable {
   const stopping = new AbortController();
   const run = async (): Promise<void> => {
     while (!stopping.signal.aborted) {
       action();
-      await sleepUntil(clock, clock.monotonicMs() + restMs, stopping.signal);
+      await sleepUntil(clock, clock.monotonicMs() + intervalMs, stopping.signal);
     }
   };
   void run();
--- a/src/core/relay-node/send-statement.ts
+++ b/src/core/relay-node/send-statement.ts
@@ -1,29 +1,32 @@
 import type { CallHandler } from '../calls';
 import type { ConnectionPool } from '../exchanges';
 
-/** Path on the listener for other instances that takes statements of their load. */
+/** Path on the listener for other instances that accepts statements too large for a datagram, of load or of quotas. */
 export const STATEMENT_PATH = '/load';
 
-/** One statement is under way to an instance at a time, and perhaps the next one. */
-const MOST_CONNECTIONS = 2;
-/** Time for a connection within a region, ms. */
+/** Maximum number of connections per instance: one for the statement in flight and one for the next. */
+const MAX_CONNECTIONS = 2;
+/** Timeout for opening a connection within a region, ms. */
 const CONNECT_TIMEOUT_MS = 500;
-/** Idle time within which a kept connection is used, ms; instances close theirs after a minute. */
-const MOST_IDLE_MS = 45_000;
+/** Maximum idle time of a reused connection, ms; instances close idle connections after a minute. */
+const MAX_IDLE_MS = 45_000;
 
-/** A statement is made good by the next one, so nobody waits for what becomes of it. */
+/** Ignores the answer: the next statement replaces a lost one. */
 const IGNORE_ANSWER = { onHead() {}, onData() {}, onEnd() {} };
 
-/** Sends statements over kept connections; one that finds none free is left out, since the next says more. */
+/**
+ * Creates a sender for statements that are too large for a datagram. It reuses connections, and drops a statement for
+ * which none is free, since the next statement supersedes it.
+ */
 export function createStatementSender(pool: Pick<ConnectionPool, 'send'>) {
   return (address: string, text: string): void => {
     const body = Buffer.from(text);
     pool.send(
       address,
       {
-        mostConnections: MOST_CONNECTIONS,
+        mostConnections: MAX_CONNECTIONS,
         connectTimeoutMs: CONNECT_TIMEOUT_MS,
-        mostIdleMs: MOST_IDLE_MS,
+        mostIdleMs: MAX_IDLE_MS,
       },
       {
         method: 'POST',
@@ -38,10 +41,10 @@
 
 const NO_CONTENT = 204;
 
-/** Hands on the statements of others. */
-export function answerStatements(take: (text: string) => void): CallHandler {
+/** Creates the handler that passes statements of other instances to `receive`. */
+export function createStatementHandler(receive: (text: string) => void): CallHandler {
   return ({ text }) => {
-    take(text);
+    receive(text);
     return { status: NO_CONTENT, text: '' };
   };
 }
--- a/src/core/relay-node/settings.ts
+++ b/src/core/relay-node/settings.ts
@@ -1,8 +1,8 @@
 import { z } from 'zod';
 
 const listenerSchema = z.strictObject({
-  host: z.string().describe('IP number to listen on'),
-  port: z.int().min(0).max(65_535).describe('Port; 0 takes a free one'),
+  host: z.string().describe('IP address to listen on'),
+  port: z.int().min(0).max(65_535).describe('Port; 0 selects a free one'),
 });
 
 /** Settings of an instance that passes requests through. */
@@ -15,26 +15,26 @@
     .describe('Region of each failure domain of the deployment'),
   listeners: z.strictObject({
     callers: listenerSchema,
-    peers: listenerSchema.describe('Membership of instances'),
-    forwarding: listenerSchema.describe('Requests that other instances send on'),
+    peers: listenerSchema.describe('Membership exchanges between instances'),
+    forwarding: listenerSchema.describe('Requests forwarded by other instances'),
   }),
   forwardingPort: z
     .int()
     .min(0)
-    .describe('Port on which all instances take forwarded requests; 0 where each has its own'),
+    .describe('Port on which all instances accept forwarded requests; 0 if each has its own'),
   seedPeers: z
     .array(z.string())
-    .describe('Addresses of instances to begin with; they may be stale'),
+    .describe('Addresses of instances to contact first; they may be stale'),
   retryBudget: z.strictObject({
-    ratio: z.number().min(0).describe('Repeats per request, over all instances'),
-    slack: z.number().min(0).describe('Repeats beside that in one window, over all instances'),
+    ratio: z.number().min(0).describe('Retries per request, over all instances'),
+    slack: z.number().min(0).describe('Additional retries per window, over all instances'),
     windowMs: z.number().min(100),
   }),
   stopWithinMs: z
     .number()
     .min(1_000)
-    .describe('Time between the signal to stop and the end of the process by force, ms'),
+    .describe('Time between the signal to stop and the moment at which the process is killed, ms'),
 });
 
-/** Settings with their defaults filled in. */
+/** Settings with defaults filled in. */
 export type RelaySettings = z.output<typeof relaySettingsSchema>;
--- a/src/core/relay-node/start-relay-node.ts
+++ b/src/core/relay-node/start-relay-node.ts
@@ -1,7 +1,7 @@
 import { createAccountQuotas } from '../account-quotas';
 import { createCaller, openCallListener } from '../calls';
 import type { CallHandler } from '../calls';
-import type { CallerPlace } from '../client-directory';
+import type { CallerLocation } from '../client-directory';
 import { chooseAddresses } from '../client-directory';
 import type { Clock } from '../clock';
 import { sleepUntil } from '../clock';
@@ -23,19 +23,19 @@
 import { answerWatches, createRelayedSource, createWatcherClient } from '../state-relay';
 import { createStateSync, writeSnapshot } from '../state-sync';
 import type { StateSource } from '../state-sync';
-import { createServing } from './create-serving';
+import { createServingContext } from './create-serving';
 import { RELAY_NODE_EVENTS } from './events';
-import { EXCHANGE_PATH, answerExchanges, createExchangeCalls } from './exchange-calls';
-import { HERE_PATH, STATE_PATH, fetchPeerState } from './fetch-peer-state';
+import { EXCHANGE_PATH, createExchangeHandler, createExchangeTransport } from './exchange-calls';
+import { PING_PATH, STATE_PATH, fetchPeerState } from './fetch-peer-state';
 import { createKnownInstances } from './known-instances';
 import { repeat } from './repeat';
 import type { RelaySettings } from './settings';
 import { startTicks } from './start-ticks';
-import { STATEMENT_PATH, answerStatements, createStatementSender } from './send-statement';
+import { STATEMENT_PATH, createStatementHandler, createStatementSender } from './send-statement';
 import { openStatementSocket } from './statement-socket';
 import { createStopState } from './stop-state';
 
-/** What an instance is made from. */
+/** Options of {@link startRelayNode}. */
 export interface RelayNodeOptions {
   readonly settings: RelaySettings;
   readonly clock: Clock;
@@ -50,35 +50,38 @@
 export interface RelayNode extends AsyncDisposable {
   readonly callerPort: number;
   readonly metrics: Metrics;
-  /** Whether callers can be served: routes are in force and no stop has begun. */
+  /** Returns whether callers can be served: routes are loaded and no stop has begun. */
   isReady(): boolean;
-  /** Caller addresses of the instances that a caller of the host is to use. */
-  resolve(host: string, place: CallerPlace): readonly string[];
+  /** Returns the addresses of the instances that a caller of the host should use. */
+  resolve(host: string, location: CallerLocation): readonly string[];
   /** Begins a planned stop, and resolves when the process may end. */
   stop(): Promise<void>;
-  /** Takes over settings that may change while the instance runs. */
+  /** Applies changed settings; only those that may change while the instance runs take effect. */
   apply(settings: RelaySettings): void;
 }
 
-/** Key of the marks that instances of one deployment make of requests; the platform hands out no secret. */
+/** Key of the request fingerprints that instances of one deployment share; the platform provides no secret. */
 const PEER_SECRET = 'coltsfootworks-peers';
-/** Rest between two looks at whether a stop may end, ms. */
-const STOP_LOOK_MS = 50;
-/** Rest between two rounds of forgetting servers that have gone, ms. */
-const FORGET_EVERY_MS = 5_000;
-/** Rest between two looks at the limits in force for callers' connections, ms; they change with the routes. */
-const LIMITS_EVERY_MS = 1_000;
-/** Rest between two looks at the connections to other regions: an instance that comes back is met within it, ms. */
-const REFILL_EVERY_MS = 500;
+/** Interval at which a planned stop checks whether it may end, ms. */
+const STOP_CHECK_INTERVAL_MS = 50;
+/** Interval at which the state of removed servers is dropped, ms. */
+const FORGET_INTERVAL_MS = 5_000;
+/** Interval at which the limits on callers' connections are applied, ms; they change with the routes. */
+const LIMITS_INTERVAL_MS = 1_000;
+/** Interval at which missing connections to other regions are opened, ms; bounds the delay for a returning instance. */
+const REFILL_INTERVAL_MS = 500;
 
 /**
- * Rest between two ticks of the event loop, ms, which show how late it is; at each, this instance's load is told if it is
- * time, which is a few times a second.
+ * Interval between ticks, ms. Each tick measures the lag of the event loop and sends this instance's load if it is due,
+ * which is a few times a second.
  */
-const TICK_MS = 50;
+const TICK_INTERVAL_MS = 50;
 
-/** Starts an instance whose parts `owned` releases. */
-async function startOwned(options: RelayNodeOptions, owned: DisposableStore): Promise<RelayNode> {
+/** Starts an instance and adds each component that must be disposed of to `owned`. */
+async function startInstance(
+  options: RelayNodeOptions,
+  owned: DisposableStore,
+): Promise<RelayNode> {
   const { clock, random, logger, dialect } = options;
   let { settings } = options;
   const { instanceId, region, failureDomain, listeners } = settings;
@@ -89,7 +92,7 @@
   const servers = createServerRegistry({
     regionOf: (domain) => settings.regionOfDomain[domain],
     coldStartMs: (service) => routes.current()?.table.services.get(service)?.coldStartMs ?? 0,
-    // Connections to a start that is over are reset, and with them whatever is sent there next.
+    // Connections to the previous process of a server are dead; a request sent over one would be reset.
     onRestarted: ({ address }) => pool.forget(address),
   });
   const metrics = createMetrics();
@@ -97,7 +100,7 @@
   const caller = createCaller({ clock, pool });
   const stopping = new AbortController();
   owned.defer(() => stopping.abort());
-  let inFlight = () => 0;
+  let inFlightCount = () => 0;
   let isWatching = () => false;
   let callerAddress = '';
   let peerAddress = '';
@@ -109,7 +112,7 @@
       logger,
       gossip,
       incarnation: clock.unixMs(),
-      transport: createExchangeCalls(clock, caller, stopping.signal),
+      transport: createExchangeTransport(clock, caller, stopping.signal),
       seedPeers: settings.seedPeers,
       describeSelf: () => ({
         instanceId,
@@ -117,7 +120,7 @@
         failureDomain,
         callerAddress,
         peerAddress,
-        inFlightRequests: inFlight(),
+        inFlightRequests: inFlightCount(),
         configurationVersion: routes.current()?.table.version ?? 0,
         configurationDigest: 0,
         configurationSinceUnixMs: 0,
@@ -132,21 +135,21 @@
     region,
     forwardingPort: () => settings.forwardingPort,
   });
-  const relayed = createRelayedSource({
+  const relayedSource = createRelayedSource({
     clock,
     logger,
     source: options.source,
     watchers: createWatcherClient(clock, caller),
     self: { instanceId, failureDomain },
-    others: instances.perhapsWatching,
+    others: instances.potentialWatchers,
   });
-  isWatching = relayed.isWatching;
+  isWatching = relayedSource.isWatching;
   const sync = owned.add(
     createStateSync({
       clock,
       random,
       logger,
-      source: relayed,
+      source: relayedSource,
       routes,
       servers,
       onRoutes: () => membership.prompt(() => true),
@@ -173,7 +176,7 @@
   );
   const writeState = () => writeSnapshot(sync.snapshot());
 
-  const serving = createServing(
+  const serving = createServingContext(
     {
       clock,
       random,
@@ -208,25 +211,25 @@
     quotaOf: (account) => routes.current()?.accounts?.byName(account)?.quota,
     send: statements.send,
   });
-  /** Statements of load are rows, messages about quotas objects. */
-  const takeStatement = (text: string): void => {
+  /** Dispatches a received statement: load statements are JSON arrays, quota messages JSON objects. */
+  const receiveStatement = (text: string): void => {
     if (text.startsWith('{')) quotas.take(text);
-    else serving.takeStatement(text);
+    else serving.receiveLoadStatement(text);
   };
-  statements.onStatement(takeStatement);
-  inFlight = () => router.loads.totalInFlight();
-  const listenersOpen: Ingress[] = [];
-  const watch = createLoopWatch();
-  const intake = createIntake({ clock, turns: options.turns, random, logger, watch });
-  metrics.gauge('coltsfootworks_loop_lag_ms', 'Lateness of the event loop', watch.lagMs);
+  statements.onStatement(receiveStatement);
+  inFlightCount = () => router.loads.totalInFlight();
+  const requestListeners: Ingress[] = [];
+  const loopWatch = createLoopWatch();
+  const intake = createIntake({ clock, turns: options.turns, random, logger, watch: loopWatch });
+  metrics.gauge('coltsfootworks_loop_lag_ms', 'Lateness of the event loop', loopWatch.lagMs);
   metrics.gauge('coltsfootworks_intake_waiting', 'Requests that wait in the process', intake.size);
   metrics.gauge(
     'coltsfootworks_watches_source',
     'Whether this instance watches the source of published state itself',
-    () => Number(relayed.isWatching()),
+    () => Number(relayedSource.isWatching()),
   );
   const openRequests = () =>
-    listenersOpen.reduce((sum, listener) => sum + listener.openRequests(), 0);
+    requestListeners.reduce((sum, listener) => sum + listener.openRequests(), 0);
   const stopState = createStopState({
     nowMs,
     stopWithinMs: () => settings.stopWithinMs,
@@ -241,7 +244,7 @@
     serving,
     quotas,
     intake,
-    watch,
+    watch: loopWatch,
     isLeaving: stopState.isLeaving,
     isRefusing: stopState.isRefusing,
   };
@@ -250,7 +253,7 @@
     await openCallListener({
       ...listeners.peers,
       logger,
-      handlers: new Map([[EXCHANGE_PATH, answerExchanges(membership.receive)]]),
+      handlers: new Map([[EXCHANGE_PATH, createExchangeHandler(membership.receive)]]),
     }),
   );
   peerAddress = `${listeners.peers.host}:${peerListener.port}`;
@@ -261,9 +264,9 @@
       from: 'peers',
       calls: new Map<string, CallHandler>([
         [STATE_PATH, () => ({ status: 200, text: writeState() })],
-        [HERE_PATH, () => ({ status: 200, text: '{}' })],
-        [STATEMENT_PATH, answerStatements(takeStatement)],
-        ...answerWatches({ ...relayed, clock, writeState }),
+        [PING_PATH, () => ({ status: 200, text: '{}' })],
+        [STATEMENT_PATH, createStatementHandler(receiveStatement)],
+        ...answerWatches({ ...relayedSource, clock, writeState }),
       ]),
     }),
   );
@@ -271,28 +274,28 @@
     await openIngress({ ...shared, ...listeners.callers, from: 'callers' }),
   );
   callerAddress = `${listeners.callers.host}:${ingress.port}`;
-  listenersOpen.push(ingress, forwarding);
+  requestListeners.push(ingress, forwarding);
 
   const readyConnections = createReadyConnections({
     selfId: instanceId,
     region,
     pool,
     peers: instances.peers,
-    path: HERE_PATH,
+    path: PING_PATH,
   });
 
   membership.start();
   sync.start();
-  owned.add(repeat(clock, FORGET_EVERY_MS, serving.forgetGone));
+  owned.add(repeat(clock, FORGET_INTERVAL_MS, serving.forgetRemovedServers));
   owned.add(
-    startTicks(clock, TICK_MS, (dueAtMs, nextDueAtMs) => {
-      watch.noteTick(dueAtMs, nextDueAtMs, nowMs());
-      serving.tellLoad();
+    startTicks(clock, TICK_INTERVAL_MS, (dueAtMs, nextDueAtMs) => {
+      loopWatch.noteTick(dueAtMs, nextDueAtMs, nowMs());
+      serving.sendLoad();
       quotas.tell();
     }),
   );
-  owned.add(repeat(clock, LIMITS_EVERY_MS, ingress.applyLimits));
-  owned.add(repeat(clock, REFILL_EVERY_MS, readyConnections.refill));
+  owned.add(repeat(clock, LIMITS_INTERVAL_MS, ingress.applyLimits));
+  owned.add(repeat(clock, REFILL_INTERVAL_MS, readyConnections.refill));
   logger.event(RELAY_NODE_EVENTS.started, {
     callerAddress,
     peerAddress,
@@ -304,18 +307,18 @@
     callerPort: ingress.port,
     metrics,
     isReady,
-    resolve(host, place) {
+    resolve(host, location) {
       const others = membership.usablePeers().filter((member) => member.configurationVersion > 0);
       const own = isReady() ? [membership.self()] : [];
       const leaving = membership.members().filter((member) => member.status === 'leaving');
       const homeRegions = routes.current()?.selector.homeRegions(host) ?? [];
-      return chooseAddresses({ alive: [...own, ...others], leaving, homeRegions }, place);
+      return chooseAddresses({ alive: [...own, ...others], leaving, homeRegions }, location);
     },
     async stop() {
       stopState.begin();
       membership.markLeaving();
       logger.event(RELAY_NODE_EVENTS.stopping, { openRequests: openRequests() });
-      while (stopState.step() !== 'exit') await sleepUntil(clock, nowMs() + STOP_LOOK_MS);
+      while (stopState.step() !== 'exit') await sleepUntil(clock, nowMs() + STOP_CHECK_INTERVAL_MS);
       logger.event(RELAY_NODE_EVENTS.stopped, { openRequests: openRequests() });
     },
     apply(changed) {
@@ -327,13 +330,13 @@
 }
 
 /**
- * Starts an instance: its listeners, its membership and its copy of what is published. Where one of these cannot be
- * opened, those before it are released: left open, they would keep the process from ending and its ports from the next.
+ * Starts an instance: its listeners, its membership and its copy of the published state. If one of them fails to start,
+ * those already started are released; otherwise they would keep the process alive and its ports occupied.
  */
 export async function startRelayNode(options: RelayNodeOptions): Promise<RelayNode> {
   const owned = createDisposableStore();
   try {
-    return await startOwned(options, owned);
+    return await startInstance(options, owned);
   } catch (error) {
     await owned[Symbol.asyncDispose]();
     throw error;
--- a/src/core/relay-node/start-ticks.ts
+++ b/src/core/relay-node/start-ticks.ts
@@ -1,18 +1,18 @@
 import type { Clock } from '../clock';
 
-/** One tick, with when it was due and when the next one is, monotonic ms. */
+/** Called on each tick with the time at which it was due and the time at which the next one is due, monotonic ms. */
 export type OnTick = (dueAtMs: number, nextDueAtMs: number) => void;
 
-/** Calls back at fixed times; one that is late is not made up for. */
-export function startTicks(clock: Clock, everyMs: number, onTick: OnTick): Disposable {
+/** Calls back at a fixed interval; a late tick delays all following ones, and missed ticks are skipped. */
+export function startTicks(clock: Clock, intervalMs: number, onTick: OnTick): Disposable {
   let timer: Disposable;
-  const arm = (dueAtMs: number): void => {
+  const scheduleTick = (dueAtMs: number): void => {
     timer = clock.schedule(dueAtMs, () => {
-      const nextDueAtMs = clock.monotonicMs() + everyMs;
+      const nextDueAtMs = clock.monotonicMs() + intervalMs;
       onTick(dueAtMs, nextDueAtMs);
-      arm(nextDueAtMs);
+      scheduleTick(nextDueAtMs);
     });
   };
-  arm(clock.monotonicMs() + everyMs);
+  scheduleTick(clock.monotonicMs() + intervalMs);
   return { [Symbol.dispose]: () => timer[Symbol.dispose]() };
 }
--- a/src/core/relay-node/statement-socket.test.ts
+++ b/src/core/relay-node/statement-socket.test.ts
@@ -15,14 +15,14 @@
   return { socket, logger };
 }
 
-describe('statements of load between instances', () => {
+describe('load statements between instances', () => {
   it('arrive as they were sent', async () => {
     const port = await freePort([HOST]);
     const { socket: receiver } = await open(port);
     const { socket: sender } = await open(0);
     const received: string[] = [];
     receiver.onStatement((text) => received.push(text));
-    // A datagram may be lost, and is made good by the next one.
+    // A datagram may be lost, so send until one arrives.
     await waitFor(() => {
       sender.send(`${HOST}:${port}`, '["a",[],[]]');
       return received.length > 0;
@@ -32,7 +32,7 @@
     await sender[Symbol.asyncDispose]();
   });
 
-  it('go another way where they are too large for a datagram', async () => {
+  it('are passed to the sender for large statements if they are too large for a datagram', async () => {
     const large: string[] = [];
     const { socket } = await open(0, large);
     const text = 'x'.repeat(2_000);
@@ -41,8 +41,8 @@
     await socket[Symbol.asyncDispose]();
   });
 
-  // An address is wrong. Telling goes on dozens of times a second; a line for each failure would fill the log.
-  it('are logged once where they cannot be sent', async () => {
+  // With a wrong address, sending fails dozens of times a second; a line for each failure would flood the log.
+  it('are logged once if sending keeps failing', async () => {
     const { socket, logger } = await open(0);
     for (let count = 0; count < 10; count += 1) socket.send(`${HOST}:0`, '["a",[],[]]');
     assert.equal(logger.of(RELAY_NODE_EVENTS.statementsFail).length, 1);
--- a/src/core/relay-node/statement-socket.ts
+++ b/src/core/relay-node/statement-socket.ts
@@ -3,7 +3,7 @@
 import type { Logger } from '../events';
 import { RELAY_NODE_EVENTS } from './events';
 
-/** What the socket is opened with. */
+/** Options of {@link openStatementSocket}. */
 export interface StatementSocketOptions {
   readonly host: string;
   readonly port: number;
@@ -12,21 +12,22 @@
   readonly sendLarge: (address: string, text: string) => void;
 }
 
-/** Tells other instances of this one's load. */
+/** Sends statements of load and quota use to other instances, and receives theirs. */
 export interface StatementSocket extends AsyncDisposable {
   send(address: string, text: string): void;
-  /** Hands on the statements of others from now on. */
-  onStatement(take: (text: string) => void): void;
+  /** Calls back for each statement received from now on. */
+  onStatement(listener: (text: string) => void): void;
 }
 
-/** Largest statement that is sent as a datagram: what one frame of a network carries. */
-const MOST_DATAGRAM_BYTES = 1_400;
+/** Maximum size of a statement that is sent as a datagram, bytes; it fits into one network frame. */
+const MAX_DATAGRAM_BYTES = 1_400;
 
 /**
- * Opens the socket for statements.
+ * Opens the UDP socket for statements.
  *
- * They are told dozens of times a second, nobody waits for an answer, and each is made good by the next, so datagrams
- * carry them: as requests on connections they took more processor time of an instance without callers than all else.
+ * Statements are sent dozens of times a second without waiting for a reply, and each replaces the previous one, so a
+ * lost datagram does no harm. Sent as HTTP requests, they took more CPU time than everything else in an instance
+ * without callers.
  */
 export async function openStatementSocket(
   options: StatementSocketOptions,
@@ -43,29 +44,29 @@
     socket.bind({ address: host, port }, resolve);
   });
   let isFailing = false;
-  /** Tells of the first failure in a row: the next ones would say the same dozens of times a second. */
-  const noteResult = (error: Error | null): void => {
-    const hasBegunToFail = error !== null && !isFailing;
+  /** Logs the first of consecutive failures; the following ones would repeat it dozens of times a second. */
+  const recordResult = (error: Error | null): void => {
+    const isFirstFailure = error !== null && !isFailing;
     isFailing = error !== null;
-    if (hasBegunToFail) {
+    if (isFirstFailure) {
       logger.event(RELAY_NODE_EVENTS.statementsFail, { reason: errorText(error) });
     }
   };
-  socket.on('error', noteResult);
+  socket.on('error', recordResult);
   return {
     send(address, text) {
       const bytes = Buffer.from(text);
-      if (bytes.length > MOST_DATAGRAM_BYTES) {
+      if (bytes.length > MAX_DATAGRAM_BYTES) {
         options.sendLarge(address, text);
         return;
       }
-      const colonAt = address.lastIndexOf(':');
-      const toPort = Number(address.slice(colonAt + 1));
-      if (toPort > 0) socket.send(bytes, toPort, address.slice(0, colonAt), noteResult);
-      else noteResult(new Error(`${address} names no port`));
+      const colonIndex = address.lastIndexOf(':');
+      const toPort = Number(address.slice(colonIndex + 1));
+      if (toPort > 0) socket.send(bytes, toPort, address.slice(0, colonIndex), recordResult);
+      else recordResult(new Error(`address "${address}" has no port`));
     },
-    onStatement(take) {
-      socket.on('message', (bytes) => take(bytes.toString('utf8')));
+    onStatement(listener) {
+      socket.on('message', (bytes) => listener(bytes.toString('utf8')));
     },
     [Symbol.asyncDispose]: () =>
       new Promise((resolve) => {
--- a/src/core/relay-node/stop-state.ts
+++ b/src/core/relay-node/stop-state.ts
@@ -1,25 +1,25 @@
 import { planStop } from './plan-stop';
 import type { StopStep } from './plan-stop';
 
-/** How far a planned stop has come. */
+/** Progress of a planned stop. */
 export interface StopState {
   begin(): void;
-  /** Whether a stop has begun. */
+  /** Returns whether a stop has begun. */
   isLeaving(): boolean;
-  /** Whether new requests are refused, because there is not enough time left to answer them. */
+  /** Returns whether new requests are refused because too little time remains to answer them. */
   isRefusing(): boolean;
   step(): StopStep;
 }
 
-/** What the state is made from. */
+/** Options of {@link createStopState}. */
 export interface StopStateOptions {
   readonly nowMs: () => number;
-  /** Time between the signal to stop and the end by force, ms. */
+  /** Time between the signal to stop and the moment at which the process is killed, ms. */
   readonly stopWithinMs: () => number;
   readonly openRequests: () => number;
 }
 
-/** The state of an instance that nobody has asked to stop. */
+/** Creates the state of an instance for which no stop has begun. */
 export function createStopState({
   nowMs,
   stopWithinMs,
--- a/src/core/rendezvous/index.ts
+++ b/src/core/rendezvous/index.ts
@@ -1,9 +1,9 @@
 /**
- * Rendezvous hashing (highest random weight): instances that know the same candidates choose the same ones
- * without talking, and when a candidate goes only what it had been chosen for moves.
+ * Rendezvous hashing (highest random weight). Instances that know the same candidates choose the same ones without
+ * communicating, and when a candidate is removed, only the keys assigned to it move.
  */
 
-/** A number from 0 up to, but not including, 1 that depends on both names alone; the same on every machine. */
+/** Returns a number in [0, 1) that depends only on the two strings and is the same on every machine. */
 export function hashPair(key: string, candidate: string): number {
   /* eslint-disable no-bitwise -- FNV-1a and its final mix are defined on 32-bit words */
   let hash = 0x811c9dc5;
@@ -17,7 +17,7 @@
   /* eslint-enable no-bitwise */
 }
 
-/** The order of `candidates` for `key`; the first is the one chosen, the next its stand-in. */
+/** Returns `candidates` ranked for `key`; the first is the chosen one, the next its fallback. */
 export function rankFor(key: string, candidates: readonly string[]): readonly string[] {
   return candidates
     .map((candidate) => ({ candidate, score: hashPair(key, candidate) }))
@@ -30,12 +30,12 @@
 }
 
 /**
- * Score of a candidate with a weight: over many keys each candidate comes first in proportion to its weight,
- * and a change of one weight moves keys only to or from that candidate.
+ * Returns the score of a weighted candidate for `key`; the highest score wins. Over many keys each candidate wins in
+ * proportion to its weight, and changing one weight moves keys only to or from that candidate.
  */
 export function weightedScore(key: string, candidate: string, weight: number): number {
   if (weight <= 0) return 0;
-  // Shifted off zero, whose logarithm is not a number that can be compared.
+  // Shifted away from 0, whose logarithm is -Infinity: a candidate with that draw would score 0 whatever its weight.
   const draw = (hashPair(key, candidate) * 2 ** 32 + 1) / (2 ** 32 + 1);
   return -weight / Math.log(draw);
 }
