--- a/src/core/calls/answer-call.ts
+++ b/src/core/calls/answer-call.ts
@@ -5,28 +5,32 @@
 import { readBody } from './read-body';
 import type { CallAnswer, CallHandler, CallHandlers, IncomingCall } from './types';
 
-/** Largest text of a call: the view of a whole fleet is some ten kilobytes. */
-const MOST_TEXT_BYTES = 4_194_304;
+/** Maximum size of the text of a call, bytes: the membership view of a whole fleet is some ten kilobytes. */
+const MAX_TEXT_BYTES = 4_194_304;
 const TOO_LARGE = 413;
 const FAILED = 500;
 
-function write(response: ServerResponse, answered: CallAnswer): void {
+function writeAnswer(response: ServerResponse, answer: CallAnswer): void {
   if (response.destroyed) return;
-  // Nobody reads the date, and it would be a quarter of most answers.
+  // The date header is never read, and would be a quarter of most answers.
   response.sendDate = false;
-  const bytes = Buffer.from(answered.text);
-  response.writeHead(answered.status, {
-    'content-type': answered.contentType ?? 'application/json',
+  const bytes = Buffer.from(answer.text);
+  response.writeHead(answer.status, {
+    'content-type': answer.contentType ?? 'application/json',
     'content-length': bytes.length,
   });
   response.end(bytes);
 }
 
-function toCall(incoming: IncomingMessage, response: ServerResponse, text: string): IncomingCall {
+function toIncomingCall(
+  incoming: IncomingMessage,
+  response: ServerResponse,
+  text: string,
+): IncomingCall {
   return {
     text,
     query: new URLSearchParams((incoming.url ?? '').split('?')[1]),
-    // Most calls are answered at once; only those that wait need to know.
+    // Most calls are answered at once; only handlers that wait need this.
     onGone(listener) {
       if (response.destroyed) listener();
       else response.once('close', listener);
@@ -34,15 +38,15 @@
   };
 }
 
-async function answerWith(
+async function runHandler(
   handler: CallHandler,
   call: IncomingCall,
-  writeAnswer: (answer: CallAnswer) => void,
+  onAnswer: (answer: CallAnswer) => void,
 ): Promise<void> {
-  writeAnswer(await handler(call));
+  onAnswer(await handler(call));
 }
 
-/** Answers a call that `handlers` name; false where they do not name it. */
+/** Answers a call if there is a handler for its path; returns whether there is one. */
 export function answerCall(
   handlers: CallHandlers,
   incoming: IncomingMessage,
@@ -54,23 +58,25 @@
   if (handler === undefined) return false;
   const fail = (error: unknown): void => {
     logger.event(CALL_EVENTS.failed, { path, reason: errorText(error) });
-    if (!response.headersSent) write(response, { status: FAILED, text: '' });
+    if (!response.headersSent) writeAnswer(response, { status: FAILED, text: '' });
   };
-  readBody(incoming, MOST_TEXT_BYTES, (reading) => {
-    switch (reading.kind) {
+  readBody(incoming, MAX_TEXT_BYTES, (result) => {
+    switch (result.kind) {
       case 'gone':
         return;
       case 'tooLarge':
         response.setHeader('connection', 'close');
-        write(response, { status: TOO_LARGE, text: '' });
+        writeAnswer(response, { status: TOO_LARGE, text: '' });
         return;
       case 'whole':
-        answerWith(handler, toCall(incoming, response, reading.body.toString('utf8')), (answer) =>
-          write(response, answer),
+        runHandler(
+          handler,
+          toIncomingCall(incoming, response, result.body.toString('utf8')),
+          (answer) => writeAnswer(response, answer),
         ).catch(fail);
         return;
       default:
-        reading satisfies never;
+        result satisfies never;
     }
   });
   return true;
--- a/src/core/calls/calls.test.ts
+++ b/src/core/calls/calls.test.ts
@@ -8,7 +8,7 @@
 import type { CallHandler } from '.';
 
 const clock = createSystemClock();
-const soon = () => clock.monotonicMs() + 2_000;
+const inTwoSeconds = () => clock.monotonicMs() + 2_000;
 
 async function withListener(
   handler: CallHandler,
@@ -25,68 +25,69 @@
 }
 
 describe('calls between instances', () => {
-  it('bring text and query there, and status and text back', () =>
+  it('transmit text and query, and return status and text', () =>
     withListener(
       ({ text, query }) => ({ status: 201, text: `${text} ${query.get('after')}` }),
       async (address) => {
-        using caller = openCaller(clock);
+        using callClient = openCaller(clock);
         const call = {
           method: 'POST',
           path: '/ask?after=7',
           text: 'news',
-          answerByMs: soon(),
+          answerByMs: inTwoSeconds(),
         } as const;
-        assert.deepEqual(await caller.call(address, call), { status: 201, text: 'news 7' });
-        const unknown = { method: 'GET', path: '/else', answerByMs: soon() } as const;
-        assert.equal((await caller.call(address, unknown)).status, 404);
+        assert.deepEqual(await callClient.call(address, call), { status: 201, text: 'news 7' });
+        const unknown = { method: 'GET', path: '/else', answerByMs: inTwoSeconds() } as const;
+        assert.equal((await callClient.call(address, unknown)).status, 404);
       },
     ));
 
-  // One message of another instance cannot be worked on. It must not end the process, and whoever asked must not wait.
-  it('are answered and logged where they fail', () =>
+  // A message of another instance cannot be processed. It must not end the process, and the sender must not wait in
+  // vain.
+  it('are answered and logged if the handler fails', () =>
     withListener(
       () => {
         throw new Error('cannot be read');
       },
       async (address, logger) => {
-        using caller = openCaller(clock);
-        const call = { method: 'GET', path: '/ask', answerByMs: soon() } as const;
-        assert.equal((await caller.call(address, call)).status, 500);
+        using callClient = openCaller(clock);
+        const call = { method: 'GET', path: '/ask', answerByMs: inTwoSeconds() } as const;
+        assert.equal((await callClient.call(address, call)).status, 500);
         assert.equal(logger.of(CALL_EVENTS.failed)[0]?.fields.reason, 'cannot be read');
       },
     ));
 
-  it('tell whoever answers that nobody waits any more', () => {
-    let tellGone = () => {};
-    const isGone = new Promise<void>((resolve) => {
-      tellGone = resolve;
+  it('notify the handler when nobody waits for the answer any more', () => {
+    let notifyGone = () => {};
+    const gone = new Promise<void>((resolve) => {
+      notifyGone = resolve;
     });
     const handler: CallHandler = async ({ onGone }) => {
-      onGone(tellGone);
-      await isGone;
+      onGone(notifyGone);
+      await gone;
       return { status: 200, text: '' };
     };
     return withListener(handler, async (address) => {
-      using caller = openCaller(clock);
-      const givingUp = new AbortController();
-      const call = { method: 'GET', path: '/ask', answerByMs: soon() } as const;
-      const asked = caller.call(address, call, givingUp.signal);
-      setTimeout(() => givingUp.abort(), 50);
-      await assert.rejects(asked);
-      await isGone;
+      using callClient = openCaller(clock);
+      const aborting = new AbortController();
+      const call = { method: 'GET', path: '/ask', answerByMs: inTwoSeconds() } as const;
+      const pendingCall = callClient.call(address, call, aborting.signal);
+      setTimeout(() => aborting.abort(), 50);
+      await assert.rejects(pendingCall);
+      await gone;
     });
   });
 
-  // The other machine has lost its power, or stands still: connections to it are made and nothing answers.
-  it('end at their time where nobody answers', async () => {
+  // The other machine has lost power or is frozen: connections to it are established and nothing answers.
+  it('end at their deadline if nobody answers', async () => {
     const silent = createServer(() => {});
     await new Promise<void>((resolve) => {
       silent.listen(0, '127.0.0.1', resolve);
     });
     const { port } = silent.address() as AddressInfo;
-    using caller = openCaller(clock);
+    using callClient = openCaller(clock);
     const call = { method: 'GET', path: '/ask', answerByMs: clock.monotonicMs() + 50 } as const;
-    await assert.rejects(caller.call(`127.0.0.1:${port}`, call));
+    await assert.rejects(callClient.call(`127.0.0.1:${port}`, call));
     silent.close();
   });
 });
--- a/src/core/calls/create-caller.ts
+++ b/src/core/calls/create-caller.ts
@@ -4,23 +4,26 @@
 import type { AnswerHead, ConnectionPool } from '../exchanges';
 import type { CallAnswer, Caller, OutgoingCall } from './types';
 
-/** What calls are made with. */
-export interface CallerOptions {
+/** Options of a client for calls. */
+export interface CallClientOptions {
   readonly clock: Clock;
   readonly pool: Pick<ConnectionPool, 'send'>;
 }
 
-/** Calls that wait at one address at once: a watch, an exchange, a read, and one that takes over from a silent one. */
-const MOST_CONNECTIONS = 4;
-/** Time for a connection, ms; several round trips of the longest links. */
+/**
+ * Maximum concurrent calls per address: a watch, a membership exchange, a read, and one that replaces an unanswered
+ * call.
+ */
+const MAX_CONNECTIONS = 4;
+/** Timeout of a connection attempt, ms; several round trips of the longest links. */
 const CONNECT_TIMEOUT_MS = 1_000;
-/** Idle time within which a kept connection is used, ms; listeners of instances close theirs after a minute. */
-const MOST_IDLE_MS = 8_000;
+/** Maximum idle time of a connection that is reused, ms; listeners of instances close theirs after a minute. */
+const MAX_IDLE_MS = 8_000;
 
 const JSON_HEADERS = ['content-type', 'application/json'];
 const EMPTY = new Uint8Array();
 
-/** Collects one answer as it comes. */
+/** Collects the parts of one answer as they arrive. */
 function collectAnswer(wantedHeader: string | undefined) {
   const chunks: Buffer[] = [];
   let status = 0;
@@ -30,7 +33,7 @@
       status = head.status;
       if (wantedHeader !== undefined) [header] = [head.headers[wantedHeader]].flat();
     },
-    // The bytes are only valid during the call.
+    // The bytes are only valid during the callback.
     onData(chunk: Buffer) {
       chunks.push(Buffer.from(chunk));
     },
@@ -42,18 +45,18 @@
   };
 }
 
-/** Makes calls over the connections of a pool. */
-export function createCaller({ clock, pool }: CallerOptions): Caller {
+/** Creates a client that makes calls over the connections of a pool. */
+export function createCaller({ clock, pool }: CallClientOptions): Caller {
   const send = (address: string, call: OutgoingCall, signal: AbortSignal): Promise<CallAnswer> =>
     new Promise((resolve, reject) => {
-      const collected = collectAnswer(call.wantedHeader);
+      const collector = collectAnswer(call.wantedHeader);
       const text = call.text ?? '';
       const exchange = pool.send(
         address,
         {
-          mostConnections: MOST_CONNECTIONS,
+          mostConnections: MAX_CONNECTIONS,
           connectTimeoutMs: CONNECT_TIMEOUT_MS,
-          mostIdleMs: MOST_IDLE_MS,
+          mostIdleMs: MAX_IDLE_MS,
         },
         {
           method: call.method,
@@ -62,21 +65,21 @@
           body: text === '' ? EMPTY : Buffer.from(text),
         },
         {
-          onHead: collected.onHead,
-          onData: collected.onData,
+          onHead: collector.onHead,
+          onData: collector.onData,
           onEnd(end) {
-            if (end.kind === 'whole') resolve(collected.answer());
+            if (end.kind === 'whole') resolve(collector.answer());
             else reject(new Error(end.reason));
           },
         },
       );
       if (exchange === undefined) {
-        reject(new Error('all connections to it are in use'));
+        reject(new Error('all connections to the address are in use'));
         return;
       }
-      const giveUp = () => exchange.abort('timeout');
-      if (signal.aborted) giveUp();
-      else signal.addEventListener('abort', giveUp, { once: true });
+      const abortExchange = () => exchange.abort('timeout');
+      if (signal.aborted) abortExchange();
+      else signal.addEventListener('abort', abortExchange, { once: true });
     });
 
   return {
@@ -87,7 +90,7 @@
   };
 }
 
-/** A caller with connections of its own. */
+/** Creates a client with its own connection pool. */
 export function openCaller(clock: Clock): Caller & Disposable {
   const pool = createConnectionPool(() => clock.monotonicMs());
   return { ...createCaller({ clock, pool }), [Symbol.dispose]: () => pool[Symbol.dispose]() };
--- a/src/core/calls/index.ts
+++ b/src/core/calls/index.ts
@@ -1,10 +1,10 @@
-/** Calls between the processes of a deployment that are no requests of callers. */
+/** Internal calls between the processes of a deployment, separate from the requests of callers. */
 export { answerCall } from './answer-call';
 export { createCaller, openCaller } from './create-caller';
 export { CALL_EVENTS } from './events';
 export { openCallListener } from './open-call-listener';
 export { readBody } from './read-body';
-export type { BodyReading } from './read-body';
+export type { BodyResult } from './read-body';
 export type { CallListener } from './open-call-listener';
 export type {
   CallAnswer,
--- a/src/core/calls/open-call-listener.ts
+++ b/src/core/calls/open-call-listener.ts
@@ -4,7 +4,7 @@
 import { answerCall } from './answer-call';
 import type { CallHandlers } from './types';
 
-/** What a listener for calls is opened with. */
+/** Options of a listener for calls. */
 export interface CallListenerOptions {
   readonly host: string;
   readonly port: number;
@@ -12,23 +12,23 @@
   readonly handlers: CallHandlers;
 }
 
-/** A listener that answers calls of other instances and nothing else. */
+/** A listener that only answers calls of other instances. */
 export interface CallListener extends AsyncDisposable {
   readonly port: number;
 }
 
-/** How long another instance may keep a connection idle, ms: longer than the rest between two exchanges. */
-const KEPT_MS = 60_000;
+/** How long another instance may keep a connection idle, ms: longer than the interval between membership exchanges. */
+const KEEP_ALIVE_TIMEOUT_MS = 60_000;
 const NOT_FOUND = 404;
 
-/** Opens a listener. */
+/** Opens a listener for calls. */
 export async function openCallListener(options: CallListenerOptions): Promise<CallListener> {
   const { host, port, logger, handlers } = options;
   const server = createServer({ noDelay: true }, (incoming, response) => {
     if (answerCall(handlers, incoming, response, logger)) return;
     response.writeHead(NOT_FOUND).end();
   });
-  server.keepAliveTimeout = KEPT_MS;
+  server.keepAliveTimeout = KEEP_ALIVE_TIMEOUT_MS;
   server.requestTimeout = 0;
   await new Promise<void>((resolve, reject) => {
     server.once('error', (error) => {
--- a/src/core/calls/read-body.ts
+++ b/src/core/calls/read-body.ts
@@ -1,53 +1,53 @@
 import type { IncomingMessage } from 'node:http';
 
-/** What came of reading a body. */
-export type BodyReading =
+/** Result of reading a body. */
+export type BodyResult =
   | { readonly kind: 'whole'; readonly body: Buffer }
   | { readonly kind: 'tooLarge' }
   | { readonly kind: 'gone' };
 
 const EMPTY = Buffer.alloc(0);
 
-/** Whether the request states that it has a body. */
+/** Returns whether the headers state that the request has a body. */
 function hasBody({ headers }: IncomingMessage): boolean {
   const length = headers['content-length'];
   return headers['transfer-encoding'] !== undefined || (length !== undefined && length !== '0');
 }
 
-/** Reads a body whole, so that it can be sent again, and so that no server waits on a slow caller. */
+/** Reads the complete body, so that it can be sent again, and so that no server waits for a slow caller. */
 export function readBody(
   incoming: IncomingMessage,
-  mostBytes: number,
-  onRead: (reading: BodyReading) => void,
+  maxBytes: number,
+  onResult: (result: BodyResult) => void,
 ): void {
   if (!hasBody(incoming)) {
-    onRead({ kind: 'whole', body: EMPTY });
+    onResult({ kind: 'whole', body: EMPTY });
     return;
   }
-  if (Number(incoming.headers['content-length'] ?? 0) > mostBytes) {
-    onRead({ kind: 'tooLarge' });
+  if (Number(incoming.headers['content-length'] ?? 0) > maxBytes) {
+    onResult({ kind: 'tooLarge' });
     return;
   }
   const chunks: Buffer[] = [];
   let bytes = 0;
-  let isOver = false;
-  const end = (reading: BodyReading) => {
-    if (isOver) return;
-    isOver = true;
-    onRead(reading);
+  let isSettled = false;
+  const settle = (result: BodyResult) => {
+    if (isSettled) return;
+    isSettled = true;
+    onResult(result);
   };
   incoming.on('data', (chunk: Buffer) => {
-    if (isOver) return;
+    if (isSettled) return;
     bytes += chunk.length;
-    if (bytes > mostBytes) end({ kind: 'tooLarge' });
+    if (bytes > maxBytes) settle({ kind: 'tooLarge' });
     else chunks.push(chunk);
   });
   incoming.on('end', () => {
-    end({
+    settle({
       kind: 'whole',
       body: chunks.length === 1 ? (chunks[0] ?? EMPTY) : Buffer.concat(chunks),
     });
   });
-  incoming.on('close', () => end({ kind: 'gone' }));
-  incoming.on('error', () => end({ kind: 'gone' }));
+  incoming.on('close', () => settle({ kind: 'gone' }));
+  incoming.on('error', () => settle({ kind: 'gone' }));
 }
--- a/src/core/calls/types.ts
+++ b/src/core/calls/types.ts
@@ -1,42 +1,42 @@
-/** One small question to another process, which is answered by one small text. */
+/** A small request to another process, answered by a short text. */
 export interface OutgoingCall {
   readonly method: 'GET' | 'POST';
-  /** Path with its query. */
+  /** Path including the query. */
   readonly path: string;
-  /** What is sent along; empty for nothing. */
+  /** Request body; empty for none. */
   readonly text?: string;
-  /** Monotonic time after which the call is given up. */
+  /** Monotonic time at which the call is aborted. */
   readonly answerByMs: number;
-  /** Name of one header of the answer that is wanted, in lower case. */
+  /** Lower-case name of an answer header to return. */
   readonly wantedHeader?: string;
 }
 
-/** What came back. */
+/** The answer to a call. */
 export interface CallAnswer {
   readonly status: number;
   readonly text: string;
-  /** JSON where nothing is said. */
+  /** Defaults to JSON. */
   readonly contentType?: string;
-  /** Value of the header that was wanted, where the answer has it. */
+  /** Value of the header that the call asked for, if the answer has it. */
   readonly header?: string;
 }
 
-/** Makes calls over kept connections. */
+/** Client that makes calls over reused connections. */
 export interface Caller {
-  /** Rejects where no whole answer comes in time, or when `signal` aborts. */
+  /** Rejects if no complete answer arrives in time, or when `signal` aborts. */
   call(address: string, call: OutgoingCall, signal?: AbortSignal): Promise<CallAnswer>;
 }
 
-/** A call as the one that is asked sees it. */
+/** A call as the handler receives it. */
 export interface IncomingCall {
   readonly query: URLSearchParams;
   readonly text: string;
-  /** Calls back when nobody waits for the answer any more. */
+  /** Registers a listener that is called when nobody waits for the answer any more. */
   readonly onGone: (listener: () => void) => void;
 }
 
 /** Answers calls to one path. */
 export type CallHandler = (call: IncomingCall) => CallAnswer | Promise<CallAnswer>;
 
-/** What a listener answers, by path. */
+/** The handlers of a listener, by path. */
 export type CallHandlers = ReadonlyMap<string, CallHandler>;
--- a/src/core/exchanges/connection-pool.ts
+++ b/src/core/exchanges/connection-pool.ts
@@ -2,38 +2,40 @@
 import type { Connection } from './connection';
 import type { AnswerListener, Exchange, OutgoingRequest } from './types';
 
-/** How a request wants to be sent. */
+/** Options for sending one request. */
 export interface SendOptions {
-  /** Connections that may be open to the address at once. */
+  /** Maximum number of open connections to the address. */
   readonly mostConnections: number;
   readonly connectTimeoutMs: number;
-  /** Connections that were idle for longer are not used; a server may be closing them just now. */
+  /**
+   * Maximum idle time of a connection that is reused, ms. The server may be closing one that was idle for longer.
+   */
   readonly mostIdleMs: number;
 }
 
-/** Kept connections to many addresses. */
+/** Pool of persistent connections to many addresses. */
 export interface ConnectionPool extends Disposable {
-  /** Whether a request can be sent to the address without more connections than it may have. */
+  /** Returns whether a request can be sent to the address without exceeding its maximum number of connections. */
   hasRoom(address: string, mostConnections: number): boolean;
-  /** Whether a kept connection to the address can be used at once. */
+  /** Returns whether an idle connection to the address can be used at once. */
   hasIdle(address: string, mostIdleMs: number): boolean;
-  /** Sends on the connection that was used last, or on a new one; undefined where there is no room. */
+  /** Sends on the most recently used idle connection, or on a new one; undefined if neither is available. */
   send(
     address: string,
     options: SendOptions,
     request: OutgoingRequest,
     listener: AnswerListener,
   ): Exchange | undefined;
-  /** Open connections to an address, idle ones included. */
+  /** Returns the number of open connections to an address, idle ones included. */
   count(address: string): number;
-  /** Closes the idle connections to an address that is not used any more. */
+  /** Closes the idle connections to an address that is no longer used. */
   forget(address: string): void;
 }
 
-/** How long a connection may stay idle where the other side does not state it, ms. */
+/** How long a connection may stay idle if the other side does not state it, ms. */
 const IDLE_TIMEOUT_MS = 10_000;
 
-/** A pool without connections. */
+/** Creates an empty pool. */
 export function createConnectionPool(nowMs: () => number): ConnectionPool {
   const byAddress = new Map<string, Set<Connection>>();
 
@@ -45,18 +47,18 @@
     return connections;
   };
 
-  /** The idle connection that was used last: the others can time out, so that no more stay than are needed. */
-  const findIdle = (connections: Set<Connection>, mostIdleMs: number): Connection | undefined => {
+  /** Returns the most recently used idle connection, so that unneeded ones time out. */
+  const findIdle = (connections: Set<Connection>, maxIdleMs: number): Connection | undefined => {
     let best: Connection | undefined;
     for (const connection of connections) {
       if (!connection.isIdle || connection.isClosed) continue;
-      if (nowMs() - connection.idleSinceMs > mostIdleMs) continue;
+      if (nowMs() - connection.idleSinceMs > maxIdleMs) continue;
       if (best === undefined || connection.idleSinceMs > best.idleSinceMs) best = connection;
     }
     return best;
   };
 
-  const open = (address: string, connections: Set<Connection>, connectTimeoutMs: number) => {
+  const openNew = (address: string, connections: Set<Connection>, connectTimeoutMs: number) => {
     const connection: Connection = openConnection({
       address,
       connectTimeoutMs,
@@ -80,8 +82,8 @@
     return false;
   };
 
-  /** Closes one connection that has been idle too long for this request, to make room for a fresh one. */
-  const makeRoom = (connections: Set<Connection>): void => {
+  /** Closes one connection that has been idle too long for this request, to free capacity for a new one. */
+  const closeOneIdle = (connections: Set<Connection>): void => {
     for (const connection of connections) {
       if (!connection.isIdle) continue;
       connection[Symbol.dispose]();
@@ -99,10 +101,11 @@
       const connections = connectionsTo(address);
       const idle = findIdle(connections, options.mostIdleMs);
       if (idle !== undefined) return idle.send(request, listener);
-      if (connections.size >= options.mostConnections) makeRoom(connections);
+      if (connections.size >= options.mostConnections) closeOneIdle(connections);
       if (connections.size >= options.mostConnections) return undefined;
-      const fresh = connectionsTo(address);
-      return open(address, fresh, options.connectTimeoutMs).send(request, listener);
+      // Closing the only connection to the address removes its set from the pool, so the set is looked up again.
+      const currentConnections = connectionsTo(address);
+      return openNew(address, currentConnections, options.connectTimeoutMs).send(request, listener);
     },
     count: (address) => byAddress.get(address)?.size ?? 0,
     forget(address) {
--- a/src/core/exchanges/connection.ts
+++ b/src/core/exchanges/connection.ts
@@ -8,57 +8,60 @@
 /**
  * One connection that carries one request at a time.
  *
- * The HTTP client takes an answer whose end is the end of the connection for whole also when the connection
- * was reset, and says nothing of whether a request ever left. Both decide what a caller is told, so this
- * watches the socket itself.
+ * If an answer is delimited by the end of the connection, the HTTP client reports it as complete even when the
+ * connection was reset, and it does not report whether a request was ever sent. The outcome that a caller
+ * gets depends on both, so this module watches the socket itself.
  */
 export interface Connection extends Disposable {
   readonly isIdle: boolean;
-  /** Whether nothing can be sent on it any more. */
+  /** Whether the connection can no longer be used for sending. */
   readonly isClosed: boolean;
-  /** Monotonic time at which the last exchange ended, or at which it was made. */
+  /** Monotonic time at which the last exchange ended, or at which the connection was created. */
   readonly idleSinceMs: number;
   send(request: OutgoingRequest, listener: AnswerListener): Exchange;
 }
 
-/** What a connection is made with. */
+/** Options of a connection. */
 export interface ConnectionOptions {
   /** `HOST:PORT`. */
   readonly address: string;
-  /** Longest wait for the connection to be made, ms. */
+  /** Timeout for establishing the connection, ms. */
   readonly connectTimeoutMs: number;
-  /** How long it may stay idle where the other side does not say, ms. */
+  /** How long the connection may stay idle if the other side does not state it, ms. */
   readonly idleTimeoutMs: number;
   readonly nowMs: () => number;
   readonly onClosed: () => void;
 }
 
-/** Idle time after which TCP probes a connection, so that one that has gone silent is closed, ms. */
-const PROBE_AFTER_MS = 1_000;
-/** What is written to see whether a connection still stands; servers pass over an empty line between requests. */
+/** Idle time after which TCP keep-alive probes the connection, so that a dead one is closed, ms. */
+const KEEP_ALIVE_PROBE_DELAY_MS = 1_000;
+/** Written to check whether the connection is still open; servers ignore an empty line between requests. */
 const EMPTY_LINE = '\r\n';
 
 interface SocketState {
-  /** Whether the connection stands, so that what is handed to it leaves. */
-  stands: boolean;
+  /** Whether the connection is established, so that requests written to it are sent. */
+  isConnected: boolean;
   wasReset: boolean;
-  /** Writes an empty line, and tells whether the connection turned out to be reset. */
+  /**
+   * Reports whether the connection was reset, once that is known from writing an empty line after the other side has
+   * ended the connection.
+   */
   probe(onResult: (wasReset: boolean) => void): void;
 }
 
 const NEVER_CONNECTED: SocketState = {
-  stands: false,
+  isConnected: false,
   wasReset: false,
   probe: (onResult) => onResult(true),
 };
 
-/** Whether nothing but the end of the connection ends the answer. */
-function endsWithConnection(headers: HeaderMap): boolean {
+/** Returns whether only the end of the connection marks the end of the answer. */
+function isCloseDelimited(headers: HeaderMap): boolean {
   return headers['content-length'] === undefined && headers['transfer-encoding'] === undefined;
 }
 
-function lossCause(error: Error, aborted: LossCause | undefined): LossCause {
-  if (aborted !== undefined) return aborted;
+function lossCause(error: Error, abortCause: LossCause | undefined): LossCause {
+  if (abortCause !== undefined) return abortCause;
   const isMalformed =
     error.name.startsWith('HTTPParser') || error.name.startsWith('ResponseContent');
   return isMalformed ? 'malformed' : 'reset';
@@ -67,24 +70,24 @@
 /**
  * Watches a socket for a reset.
  *
- * When bytes and the reset come together, the event loop reads the bytes and then reports a clean end: the
- * error is never read. A half answer whose end is the end of the connection would then pass for a whole one.
- * A write after that end fails on a connection that was reset, and on no other.
+ * When data and a reset arrive together, the event loop reads the data and then reports a clean end: the error is never
+ * read. A partial answer that is delimited by the end of the connection would then count as complete. A write after
+ * that end fails only on a connection that was reset.
  */
 function watchSocket(socket: Socket): SocketState {
-  let probed: boolean | undefined;
-  let tell: ((wasReset: boolean) => void) | undefined;
+  let probeResult: boolean | undefined;
+  let onProbed: ((wasReset: boolean) => void) | undefined;
   const settle = (wasReset: boolean): void => {
-    probed ??= wasReset;
-    tell?.(probed);
-    tell = undefined;
+    probeResult ??= wasReset;
+    onProbed?.(probeResult);
+    onProbed = undefined;
   };
   const state: SocketState = {
-    stands: true,
+    isConnected: true,
     wasReset: false,
     probe(onResult) {
-      if (probed === undefined) tell = onResult;
-      else onResult(probed);
+      if (probeResult === undefined) onProbed = onResult;
+      else onResult(probeResult);
     },
   };
   socket.setNoDelay(true);
@@ -92,7 +95,7 @@
     state.wasReset = true;
     settle(true);
   });
-  // Without an end before it, a close is one that this side did not see coming.
+  // A close without a preceding end was not expected by this side.
   socket.on('close', () => settle(true));
   socket.on('end', () => {
     socket.write(EMPTY_LINE, (error) => {
@@ -103,19 +106,19 @@
   return state;
 }
 
-/** A connection that is made when the first request is sent. */
+/** Creates a connection that is established when the first request is sent. */
 export function openConnection(options: ConnectionOptions): Connection {
   const { nowMs, onClosed } = options;
   let socketState = NEVER_CONNECTED;
   let isIdle = true;
   let isClosed = false;
-  let wasConnected = false;
+  let hasStartedConnecting = false;
   let idleSinceMs = nowMs();
   const connect = buildConnector({
     timeout: options.connectTimeoutMs,
     keepAlive: true,
-    keepAliveInitialDelay: PROBE_AFTER_MS,
-    // Leaves the own direction open after the other side has ended, so that it can be probed.
+    keepAliveInitialDelay: KEEP_ALIVE_PROBE_DELAY_MS,
+    // Keeps the sending direction open after the other side has ended, so that the connection can be probed.
     allowHalfOpen: true,
   });
 
@@ -125,11 +128,11 @@
     bodyTimeout: 0,
     keepAliveTimeout: options.idleTimeoutMs,
     connect(target, callback) {
-      if (wasConnected || isClosed) {
+      if (hasStartedConnecting || isClosed) {
         callback(new Error('The connection was closed before the request was sent.'), null);
         return;
       }
-      wasConnected = true;
+      hasStartedConnecting = true;
       connect(target, (error, socket) => {
         if (error !== null) {
           callback(error, null);
@@ -152,12 +155,12 @@
 
   const send = (request: OutgoingRequest, listener: AnswerListener): Exchange => {
     let controller: Dispatcher.DispatchController | undefined;
-    let abortedBy: LossCause | undefined;
+    let abortCause: LossCause | undefined;
     let ended = false;
-    let isUnframed = false;
+    let endsOnClose = false;
     isIdle = false;
 
-    const finish = (end: Parameters<AnswerListener['onEnd']>[0]) => {
+    const settle = (end: Parameters<AnswerListener['onEnd']>[0]) => {
       if (ended) return;
       ended = true;
       isIdle = true;
@@ -168,16 +171,16 @@
 
     const fail = (error: Error) => {
       const reason = errorText(error);
-      if (!socketState.stands) {
-        finish({ kind: 'neverSent', reason });
+      if (!socketState.isConnected) {
+        settle({ kind: 'neverSent', reason });
         return;
       }
-      finish({ kind: 'lost', cause: lossCause(error, abortedBy), reason });
+      settle({ kind: 'lost', cause: lossCause(error, abortCause), reason });
     };
 
-    const endAs = (wasReset: boolean) => {
+    const settleUnlessReset = (wasReset: boolean) => {
       if (wasReset) fail(new Error('The connection was reset before the end of the answer.'));
-      else finish({ kind: 'whole' });
+      else settle({ kind: 'whole' });
     };
 
     client.dispatch(
@@ -190,23 +193,23 @@
       {
         onRequestStart(started) {
           controller = started;
-          if (abortedBy !== undefined) started.abort(new Error('The exchange was given up.'));
+          if (abortCause !== undefined) started.abort(new Error('The exchange was aborted.'));
         },
         onResponseStart(_controller, status, headers) {
           if (status < 200) return;
-          isUnframed = endsWithConnection(headers);
+          endsOnClose = isCloseDelimited(headers);
           listener.onHead({ status, headers });
         },
         onResponseData(_controller, chunk) {
           listener.onData(chunk);
         },
         onResponseEnd() {
-          if (!isUnframed) {
-            endAs(socketState.wasReset);
+          if (!endsOnClose) {
+            settleUnlessReset(socketState.wasReset);
             return;
           }
           isIdle = false;
-          socketState.probe(endAs);
+          socketState.probe(settleUnlessReset);
         },
         onResponseError(_controller, error) {
           fail(error);
@@ -217,9 +220,9 @@
     return {
       abort(cause) {
         if (ended) return;
-        abortedBy = cause;
-        if (controller !== undefined) controller.abort(new Error('The exchange was given up.'));
-        // Before the connection stands the client has not started the request, and destroying it ends that.
+        abortCause = cause;
+        if (controller !== undefined) controller.abort(new Error('The exchange was aborted.'));
+        // Before the connection is established, the client has not started the request; closing cancels it.
         else close();
       },
       pause: () => controller?.pause(),
--- a/src/core/exchanges/index.ts
+++ b/src/core/exchanges/index.ts
@@ -1,4 +1,4 @@
-/** HTTP exchanges with backend servers and other instances, each with proof of how it ended. */
+/** HTTP exchanges with backend servers and other instances, each with evidence of how it ended. */
 export { createConnectionPool } from './connection-pool';
 export type { ConnectionPool, SendOptions } from './connection-pool';
 export type {
--- a/src/core/exchanges/types.ts
+++ b/src/core/exchanges/types.ts
@@ -1,18 +1,18 @@
 import type { LossCause } from '../outcomes';
 
-/** Header names in lower case with their values, as an HTTP client gives them. */
+/** Lower-case header names with their values, as the HTTP client provides them. */
 export type HeaderMap = Readonly<Record<string, string | string[] | undefined>>;
 
-/** What is sent. */
+/** A request to send. */
 export interface OutgoingRequest {
   readonly method: string;
   readonly path: string;
-  /** Names and values by turns. */
+  /** Alternating header names and values. */
   readonly headers: readonly string[];
   readonly body: Uint8Array;
 }
 
-/** The head of an answer. */
+/** Status and headers of an answer. */
 export interface AnswerHead {
   readonly status: number;
   readonly headers: HeaderMap;
@@ -20,25 +20,25 @@
 
 /** How an exchange ended. */
 export type ExchangeEnd =
-  /** The whole answer has come. */
+  /** The complete answer was received. */
   | { readonly kind: 'whole' }
   /** No byte of the request has left this process. */
   | { readonly kind: 'neverSent'; readonly reason: string }
-  /** The answer did not come, or not whole; the request may have run. */
+  /** No answer was received, or only a part of it; the request may have run. */
   | { readonly kind: 'lost'; readonly cause: LossCause; readonly reason: string };
 
-/** Told of an answer as it comes. */
+/** Receives the parts of an answer as they arrive. */
 export interface AnswerListener {
   onHead(head: AnswerHead): void;
-  /** The bytes are only valid during the call. */
+  /** The bytes are only valid during the callback. */
   onData(chunk: Buffer): void;
-  /** Called once, last. */
+  /** Called exactly once, as the last callback. */
   onEnd(end: ExchangeEnd): void;
 }
 
-/** One exchange under way. */
+/** An exchange in progress. */
 export interface Exchange {
-  /** Gives the exchange up and closes its connection; `onEnd` is still called. */
+  /** Aborts the exchange and closes its connection; `onEnd` is still called. */
   abort(cause: LossCause): void;
   pause(): void;
   resume(): void;
--- a/src/core/server-registry/create-server-registry.ts
+++ b/src/core/server-registry/create-server-registry.ts
@@ -1,71 +1,71 @@
 import type { KnownServer, ServerAnnouncement } from './types';
 
-/** The backend servers that are announced, and the failure domains that are evacuated. */
+/** Registry of announced backend servers and evacuated failure domains. */
 export interface ServerRegistry {
-  /** Takes an announcement in. */
+  /** Adds or updates a server from its announcement. */
   put(announcement: ServerAnnouncement, nowMs: number): void;
-  /** Forgets a server that has left. */
+  /** Removes a server that has left. */
   remove(serverId: string): void;
-  /** Forgets all servers that are not among those given: what a complete list does not name has gone. */
+  /** Removes all servers that are not in the given set, since a server missing in a complete list has left. */
   keepOnly(serverIds: ReadonlySet<string>): void;
   /** Begins or ends the evacuation of a failure domain. */
   setEvacuated(failureDomain: string, isEvacuated: boolean, nowMs: number): void;
   evacuated(): readonly string[];
   get(serverId: string): KnownServer | undefined;
   all(): readonly KnownServer[];
-  /** Servers of a service in a region that may be given new work. */
+  /** Returns the servers of a service in a region that may be given new work. */
   usable(service: string, region: string): readonly KnownServer[];
-  /** Notes that a server has said of itself that it is cold. */
+  /** Marks a server as cold until the given monotonic time, as the server itself reported. */
   noteCold(serverId: string, coldUntilMs: number): void;
-  /** Notes that another server has answered at a server's address: the one that was there has gone for good. */
+  /** Marks a server as replaced: another one answered at its address, so it is gone for good. */
   noteReplaced(serverId: string): void;
 }
 
-/** What the registry is made from. */
+/** Options of a server registry. */
 export interface ServerRegistryOptions {
-  /** Region of a failure domain; undefined for one that the settings do not name. */
+  /** Returns the region of a failure domain; undefined for one that the settings do not name. */
   readonly regionOf: (failureDomain: string) => string | undefined;
-  /** Time for which servers of a service count as cold after an evacuation of their domain, ms. */
+  /** Returns how long servers of a service count as cold after an evacuation of their domain, ms. */
   readonly coldStartMs: (service: string) => number;
-  /** A server has started again under the id that it had; nothing of what was known of it holds any more. */
+  /** Called when a server has restarted under the same id; everything known about the previous start is invalid. */
   readonly onRestarted?: (before: KnownServer) => void;
 }
 
-function incarnationName({ serverId, startedAtUnixMs }: ServerAnnouncement): string {
+function incarnationIdOf({ serverId, startedAtUnixMs }: ServerAnnouncement): string {
   return startedAtUnixMs === undefined ? serverId : `${serverId}@${startedAtUnixMs}`;
 }
 
-/** Whether an announcement is of a start before the one that is known; such a server runs no more. */
+/** Returns whether an announcement is of an earlier start than the known one; that start no longer runs. */
 function isOfEarlierStart(announcement: ServerAnnouncement, known: KnownServer): boolean {
   const { startedAtUnixMs } = announcement;
   if (startedAtUnixMs === undefined || known.startedAtUnixMs === undefined) return false;
   return startedAtUnixMs < known.startedAtUnixMs;
 }
 
-/** A registry that knows nobody. */
+/** Creates an empty registry. */
 export function createServerRegistry(options: ServerRegistryOptions): ServerRegistry {
   const servers = new Map<string, KnownServer>();
   const evacuatedDomains = new Set<string>();
-  /** Servers by service and region, made anew after a change; asked for on every request. */
-  let usableByPlace: Map<string, KnownServer[]> | undefined;
+  /** Usable servers by service and region, rebuilt after a change; read on every request. */
+  let usableIndex: Map<string, KnownServer[]> | undefined;
 
-  const place = (service: string, region: string) => `${region}/${service}`;
+  const indexKey = (service: string, region: string) => `${region}/${service}`;
 
-  const index = (): Map<string, KnownServer[]> => {
-    const byPlace = new Map<string, KnownServer[]>();
+  const buildUsableIndex = (): Map<string, KnownServer[]> => {
+    const index = new Map<string, KnownServer[]>();
     for (const server of servers.values()) {
       if (server.isDraining || evacuatedDomains.has(server.failureDomain)) continue;
-      const key = place(server.service, server.region);
-      const list = byPlace.get(key) ?? [];
+      const key = indexKey(server.service, server.region);
+      const list = index.get(key) ?? [];
       list.push(server);
-      byPlace.set(key, list);
+      index.set(key, list);
     }
-    return byPlace;
+    return index;
   };
 
   const set = (server: KnownServer): void => {
     servers.set(server.serverId, server);
-    usableByPlace = undefined;
+    usableIndex = undefined;
   };
 
   return {
@@ -73,10 +73,11 @@
       const { coldForMs, goneInMs, ...announced } = announcement;
       const before = servers.get(announcement.serverId);
       if (before !== undefined && isOfEarlierStart(announcement, before)) return;
-      const incarnationId = incarnationName(announcement);
+      const incarnationId = incarnationIdOf(announcement);
       const isRestarted = before !== undefined && before.incarnationId !== incarnationId;
-      // Draining and cold belong to one start: carried over to the next, they would keep a sound server out of use.
-      const known = isRestarted ? undefined : before;
+      // Draining and cold states belong to one start; carried over to the next, they would keep a healthy server
+      // unused.
+      const sameIncarnation = isRestarted ? undefined : before;
       if (isRestarted) options.onRestarted?.(before);
       const region = options.regionOf(announcement.failureDomain) ?? '';
       const coldUntilMs = coldForMs > 0 ? nowMs + coldForMs : 0;
@@ -84,28 +85,29 @@
         ...announced,
         incarnationId,
         region,
-        // A server that is about to be taken away gets no new work, whatever else it says.
-        isDraining: announced.isDraining || goneInMs !== undefined || known?.isDraining === true,
-        coldUntilMs: Math.max(coldUntilMs, known?.coldUntilMs ?? 0),
+        // A server that is about to be stopped gets no new work, whatever else it announces.
+        isDraining:
+          announced.isDraining || goneInMs !== undefined || sameIncarnation?.isDraining === true,
+        coldUntilMs: Math.max(coldUntilMs, sameIncarnation?.coldUntilMs ?? 0),
       });
     },
     remove(serverId) {
-      if (servers.delete(serverId)) usableByPlace = undefined;
+      if (servers.delete(serverId)) usableIndex = undefined;
     },
     keepOnly(serverIds) {
       for (const serverId of servers.keys()) if (!serverIds.has(serverId)) servers.delete(serverId);
-      usableByPlace = undefined;
+      usableIndex = undefined;
     },
     setEvacuated(failureDomain, isEvacuated, nowMs) {
       if (evacuatedDomains.has(failureDomain) === isEvacuated) return;
-      usableByPlace = undefined;
+      usableIndex = undefined;
       if (isEvacuated) {
         evacuatedDomains.add(failureDomain);
         return;
       }
       evacuatedDomains.delete(failureDomain);
-      // Servers without work lose what they had in memory. Nothing announces that, and the full load that
-      // comes back at once would crash them; so they count as cold for as long as after a start.
+      // Servers without work lose their in-memory state. Nothing announces that, and the full load, returning at once,
+      // would crash them; so they count as cold for as long as after a start.
       for (const server of servers.values()) {
         if (server.failureDomain !== failureDomain) continue;
         const coldMs = options.coldStartMs(server.service);
@@ -116,8 +118,8 @@
     get: (serverId) => servers.get(serverId),
     all: () => [...servers.values()],
     usable(service, region) {
-      usableByPlace ??= index();
-      return usableByPlace.get(place(service, region)) ?? [];
+      usableIndex ??= buildUsableIndex();
+      return usableIndex.get(indexKey(service, region)) ?? [];
     },
     noteCold(serverId, coldUntilMs) {
       const server = servers.get(serverId);
--- a/src/core/server-registry/index.ts
+++ b/src/core/server-registry/index.ts
@@ -1,4 +1,4 @@
-/** Which backend servers there are, by what they announce of themselves. */
+/** Registry of the backend servers, built from their announcements. */
 export { createServerRegistry } from './create-server-registry';
 export type { ServerRegistry, ServerRegistryOptions } from './create-server-registry';
 export type { KnownServer, ServerAnnouncement } from './types';
--- a/src/core/server-registry/server-registry.test.ts
+++ b/src/core/server-registry/server-registry.test.ts
@@ -6,7 +6,7 @@
 const FIRST_START_UNIX_MS = 1_000;
 const NEXT_START_UNIX_MS = 9_000;
 
-function announcement(more: Partial<ServerAnnouncement> = {}): ServerAnnouncement {
+function announcement(overrides: Partial<ServerAnnouncement> = {}): ServerAnnouncement {
   return {
     serverId: 's-1',
     startedAtUnixMs: FIRST_START_UNIX_MS,
@@ -17,7 +17,7 @@
     isDraining: false,
     coldForMs: 0,
     goneInMs: undefined,
-    ...more,
+    ...overrides,
   };
 }
 
@@ -31,19 +31,19 @@
   return { servers, restarted };
 }
 
-describe('a server that starts again under the id that it had', () => {
-  // It crashes and is back before its entry lapses. What the first start said must not stick to the next one: a server
-  // that was leaving would never get work again, and one that was cold would be held to a trickle.
-  const carried: readonly {
+describe('a server that restarts under the same id', () => {
+  // A server crashes and restarts before its entry expires. The state of the previous start must not carry over: a
+  // server that was draining would never get work again, and one that was cold would be kept at a low rate.
+  const carriedOver: readonly {
     readonly name: string;
     readonly before: Partial<ServerAnnouncement>;
   }[] = [
     { name: 'was draining', before: { isDraining: true } },
-    { name: 'was to be taken away', before: { goneInMs: 500 } },
+    { name: 'was to be stopped', before: { goneInMs: 500 } },
     { name: 'was cold', before: { coldForMs: 60_000 } },
   ];
-  for (const { name, before } of carried) {
-    it(`begins anew where the one before ${name}`, () => {
+  for (const { name, before } of carriedOver) {
+    it(`starts with a fresh state if the previous start ${name}`, () => {
       const { servers, restarted } = setUp();
       servers.put(announcement(before), 0);
       servers.put(announcement({ startedAtUnixMs: NEXT_START_UNIX_MS }), 10);
@@ -54,7 +54,7 @@
     });
   }
 
-  it('stays as it is while the same start announces itself again', () => {
+  it('keeps its state when the same start announces itself again', () => {
     const { servers, restarted } = setUp();
     servers.put(announcement({ isDraining: true }), 0);
     servers.put(announcement(), 10);
@@ -62,16 +62,16 @@
     assert.deepEqual(restarted, []);
   });
 
-  // An announcement that was written before the restart arrives after it. Followed, it would hand requests to a start
-  // that has ended, or take the one that lives out of use.
-  it('is not forgotten for a late announcement of the one before', () => {
+  // An announcement written before the restart arrives after it. If applied, it would send requests to a start that has
+  // ended, or take the running one out of use.
+  it('is not replaced by a late announcement of the previous start', () => {
     const { servers } = setUp();
     servers.put(announcement({ startedAtUnixMs: NEXT_START_UNIX_MS }), 0);
     servers.put(announcement({ isDraining: true }), 10);
     assert.equal(servers.usable('app', 'north')[0]?.startedAtUnixMs, NEXT_START_UNIX_MS);
   });
 
-  it('is one and the same where no start is stated', () => {
+  it('counts as the same start if no start time is stated', () => {
     const { servers, restarted } = setUp();
     servers.put(announcement({ startedAtUnixMs: undefined, isDraining: true }), 0);
     servers.put(announcement({ startedAtUnixMs: undefined }), 10);
--- a/src/core/server-registry/types.ts
+++ b/src/core/server-registry/types.ts
@@ -1,26 +1,26 @@
-/** One backend server as it announces itself. */
+/** Announcement of one backend server about itself. */
 export interface ServerAnnouncement {
-  /** Names the server. Another start usually has another id; one that has the same tells by `startedAtUnixMs`. */
+  /** Id of the server. A restart usually changes it; restarts under the same id are told apart by `startedAtUnixMs`. */
   readonly serverId: string;
-  /** When it started by its own clock, Unix ms; undefined where it does not say. Tells starts under one id apart. */
+  /** Start time by the server's own clock, Unix ms; undefined if not stated. Distinguishes starts under the same id. */
   readonly startedAtUnixMs: number | undefined;
   readonly service: string;
-  /** `HOST:PORT`; used again by another server some time after this one has gone. */
+  /** `HOST:PORT`; may be reused by another server some time after this one is gone. */
   readonly address: string;
   readonly failureDomain: string;
-  /** Requests that it processes at once. */
+  /** Maximum number of requests that it processes concurrently. */
   readonly slots: number;
   readonly isDraining: boolean;
-  /** Time for which it is still cold, as of the announcement, ms. */
+  /** Time for which the server remains cold, as of the announcement, ms. */
   readonly coldForMs: number;
-  /** Time until it is gone whatever it runs, where it was told so at short notice, ms. */
+  /** Time until the server is stopped regardless of running work, ms; only stated after a notice shortly before. */
   readonly goneInMs: number | undefined;
 }
 
-/** One backend server as this instance holds it. */
+/** State of one backend server as known to this instance. */
 export interface KnownServer {
   readonly serverId: string;
-  /** Names one start of the server. Whatever is learned of a server is kept under this name, and ends with it. */
+  /** Identifies one start of the server. Everything learned about a server is stored under this id and ends with it. */
   readonly incarnationId: string;
   readonly startedAtUnixMs: number | undefined;
   readonly service: string;
@@ -29,6 +29,6 @@
   readonly region: string;
   readonly slots: number;
   readonly isDraining: boolean;
-  /** Monotonic time until which the server bears few requests only. */
+  /** Monotonic time until which the server can handle only few requests. */
   readonly coldUntilMs: number;
 }
--- a/src/core/state-relay/answer-watches.ts
+++ b/src/core/state-relay/answer-watches.ts
@@ -1,27 +1,27 @@
 import type { CallAnswer, CallHandler, IncomingCall } from '../calls';
 import { createWakeUp } from '../clock';
 import type { Clock } from '../clock';
-import { writeChanges } from '../state-sync';
+import { serializeChanges } from '../state-sync';
 import type { Position } from '../state-sync';
 import type { ChangeFeed } from './change-feed';
 
-/** Path on the listener for other instances that tells of changes of what is published. */
+/** Path for changes of published state, on the listener for other instances. */
 export const CHANGES_PATH = '/changes';
-/** Path on the same listener that hands out all that is published, as far as the source is followed. */
+/** Path for the complete published state on the same listener; answered only while the source is followed. */
 export const FOLLOWED_STATE_PATH = '/followed-state';
 
-/** What the answers are made from. */
-export interface AnswerWatchesOptions {
+/** Options of the handlers for watches of other instances. */
+export interface WatchHandlersOptions {
   readonly clock: Clock;
-  readonly feed: Pick<ChangeFeed, 'since' | 'onNews' | 'era'>;
-  /** Monotonic time until which what is known here counts as up to date, without a further answer of the source. */
+  readonly feed: Pick<ChangeFeed, 'since' | 'onChanges' | 'era'>;
+  /** Monotonic time until which the local state counts as up to date without another answer of the source. */
   readonly freshUntilMs: () => number;
-  /** All that is published, as text. */
+  /** Serializes the complete published state. */
   readonly writeState: () => string;
 }
 
-/** Longest wait of one call, ms. */
-const LONGEST_WAIT_MS = 5_000;
+/** Maximum wait of one call, ms. */
+const MAX_WAIT_MS = 5_000;
 const OK = 200;
 const BAD_REQUEST = 400;
 const GONE = 410;
@@ -40,33 +40,34 @@
   const waitMs = Number(query.get('waitMs') ?? NaN);
   const isPosition = Number.isSafeInteger(era) && Number.isSafeInteger(revision);
   if (!isPosition || !Number.isFinite(waitMs)) return undefined;
-  return { after: { era, revision }, waitMs: Math.min(LONGEST_WAIT_MS, Math.max(0, waitMs)) };
+  return { after: { era, revision }, waitMs: Math.min(MAX_WAIT_MS, Math.max(0, waitMs)) };
 }
 
 /**
- * Answers instances that follow this one.
+ * Creates the handlers for calls of instances that follow this one.
  *
- * An instance that has lost the source must not go on answering that nothing has changed: those who follow it would
- * send requests to servers that have left, while they could have read of it themselves. So a call ends with
- * `unavailable` as soon as the source has been silent for longer than a watch takes.
+ * An instance that has lost the source must not continue to report that nothing has changed: its followers would send
+ * requests to servers that have left, although they could have read the changes themselves. A call therefore ends with
+ * status 503 as soon as the source has not answered for longer than a watch takes.
  */
-export function answerWatches(options: AnswerWatchesOptions): ReadonlyMap<string, CallHandler> {
+export function answerWatches(options: WatchHandlersOptions): ReadonlyMap<string, CallHandler> {
   const { clock, feed, freshUntilMs } = options;
   const isFresh = () => clock.monotonicMs() < freshUntilMs();
 
-  /** Whether whoever asks has heard of a return of the source that is not known here yet. */
-  const isBehind = (after: Position) => after.era > (feed.era() ?? -Infinity);
+  /** Returns whether the follower has seen a restore of the source that is not known here yet. */
+  const isAheadOfFeed = (after: Position) => after.era > (feed.era() ?? -Infinity);
 
-  const current = (after: Position): CallAnswer | undefined => {
-    if (!isFresh() || isBehind(after)) return NOT_FOLLOWING;
-    const news = feed.since(after);
-    if (news.kind === 'historyGone') return { status: GONE, text: '{}' };
-    return news.changes.length === 0 ? undefined : { status: OK, text: writeChanges(news) };
+  /** Returns the answer to a watch as of now; undefined while there are no changes to report. */
+  const currentAnswer = (after: Position): CallAnswer | undefined => {
+    if (!isFresh() || isAheadOfFeed(after)) return NOT_FOLLOWING;
+    const update = feed.since(after);
+    if (update.kind === 'historyGone') return { status: GONE, text: '{}' };
+    return update.changes.length === 0 ? undefined : { status: OK, text: serializeChanges(update) };
   };
 
-  const nothingNew = (after: Position): CallAnswer => ({
+  const emptyAnswer = (after: Position): CallAnswer => ({
     status: OK,
-    text: writeChanges({ kind: 'changes', position: after, changes: [] }),
+    text: serializeChanges({ kind: 'changes', position: after, changes: [] }),
   });
 
   const watch: CallHandler = async (call) => {
@@ -74,16 +75,16 @@
     if (query === undefined) return { status: BAD_REQUEST, text: '{}' };
     const untilMs = clock.monotonicMs() + query.waitMs;
     const wakeUp = createWakeUp(clock);
-    const gone = new AbortController();
-    call.onGone(() => gone.abort());
-    const listening = feed.onNews(wakeUp.wake);
-    let answer = current(query.after);
-    while (answer === undefined && clock.monotonicMs() < untilMs && !gone.signal.aborted) {
-      await wakeUp.restUntil(Math.min(untilMs, freshUntilMs()), gone.signal);
-      answer = current(query.after);
+    const disconnected = new AbortController();
+    call.onGone(() => disconnected.abort());
+    const subscription = feed.onChanges(wakeUp.wake);
+    let answer = currentAnswer(query.after);
+    while (answer === undefined && clock.monotonicMs() < untilMs && !disconnected.signal.aborted) {
+      await wakeUp.restUntil(Math.min(untilMs, freshUntilMs()), disconnected.signal);
+      answer = currentAnswer(query.after);
     }
-    listening[Symbol.dispose]();
-    return answer ?? nothingNew(query.after);
+    subscription[Symbol.dispose]();
+    return answer ?? emptyAnswer(query.after);
   };
 
   const state: CallHandler = () =>
--- a/src/core/state-relay/ask-watcher.ts
+++ b/src/core/state-relay/ask-watcher.ts
@@ -1,16 +1,16 @@
 import type { CallAnswer, Caller } from '../calls';
 import type { Clock } from '../clock';
-import { readChanges, readSnapshot } from '../state-sync';
+import { parseChanges, readSnapshot } from '../state-sync';
 import type { Position, PublishedChanges, PublishedState } from '../state-sync';
 import { CHANGES_PATH, FOLLOWED_STATE_PATH } from './answer-watches';
 import type { WatcherFault } from './watcher-doubts';
 
-/** What came of asking another instance as a watcher. */
+/** Result of a call to another instance as a watcher. */
 export type WatcherAnswer<Value> =
   | { readonly kind: 'answered'; readonly value: Value }
   | { readonly kind: 'failed'; readonly fault: WatcherFault; readonly reason: string };
 
-/** Asks other instances what has changed. Never rejects. */
+/** Reads published state from other instances. Never rejects. */
 export interface WatcherClient {
   watch(
     address: string,
@@ -21,26 +21,26 @@
   readAll(address: string, signal: AbortSignal): Promise<WatcherAnswer<PublishedState>>;
 }
 
-/** Time beyond its wait after which a watch counts as lost, ms: a few round trips within a region. */
+/** Time after its maximum wait at which a watch counts as lost, ms: a few round trips within a region. */
 const WATCH_GRACE_MS = 400;
-/** Time for the whole state, ms. */
+/** Timeout of a read of the complete state, ms. */
 const READ_TIMEOUT_MS = 1_000;
 const OK = 200;
 const GONE = 410;
 const UNAVAILABLE = 503;
 
-/** A client for other instances. */
-export function createWatcherClient(clock: Clock, caller: Caller): WatcherClient {
-  const ask = async <Value>(
+/** Creates a client for watchers. */
+export function createWatcherClient(clock: Clock, callClient: Caller): WatcherClient {
+  const request = async <Value>(
     address: string,
     path: string,
     answerByMs: number,
     signal: AbortSignal,
-    read: (answer: CallAnswer) => Value | undefined,
+    parse: (answer: CallAnswer) => Value | undefined,
   ): Promise<WatcherAnswer<Value>> => {
     try {
-      const answer = await caller.call(address, { method: 'GET', path, answerByMs }, signal);
-      const value = read(answer);
+      const answer = await callClient.call(address, { method: 'GET', path, answerByMs }, signal);
+      const value = parse(answer);
       if (value !== undefined) return { kind: 'answered', value };
       const fault = answer.status === UNAVAILABLE ? 'notFollowing' : 'noAnswer';
       return { kind: 'failed', fault, reason: `status ${answer.status}` };
@@ -52,18 +52,18 @@
 
   return {
     watch: (address, after, waitMs, signal) =>
-      ask(
+      request(
         address,
         `${CHANGES_PATH}?era=${after.era}&after=${after.revision}&waitMs=${waitMs}`,
         clock.monotonicMs() + waitMs + WATCH_GRACE_MS,
         signal,
         ({ status, text }): PublishedChanges | undefined => {
           if (status === GONE) return { kind: 'historyGone' };
-          return status === OK ? readChanges(text) : undefined;
+          return status === OK ? parseChanges(text) : undefined;
         },
       ),
     readAll: (address, signal) =>
-      ask(
+      request(
         address,
         FOLLOWED_STATE_PATH,
         clock.monotonicMs() + READ_TIMEOUT_MS,
--- a/src/core/state-relay/change-feed.ts
+++ b/src/core/state-relay/change-feed.ts
@@ -1,76 +1,77 @@
 import type { Position, PublishedChange, PublishedChanges } from '../state-sync';
 
-/** The latest changes of what is published, for instances that follow this one. */
+/** The latest changes of published state, for instances that follow this one. */
 export interface ChangeFeed {
-  /** Begins anew after everything was read as of `position`: what came before it is not known here. */
+  /** Starts over after the complete state was read as of `position`; changes before it are not known here. */
   restart(position: Position): void;
-  /** Adds what a watch after `after` has brought. */
-  add(after: Position, news: PublishedChanges): void;
-  /** Changes after `position`; without any where there is nothing newer. */
+  /** Adds the result of a watch after `after`. */
+  add(after: Position, update: PublishedChanges): void;
+  /** Returns the changes after `position`, which may be none; `historyGone` if not all of them are kept. */
   since(position: Position): PublishedChanges;
-  /** Era of what is known here; undefined before anything was read. */
+  /** Returns the era of the known changes; undefined before the first read. */
   era(): number | undefined;
-  /** Calls back when there is something newer. */
-  onNews(listener: () => void): Disposable;
+  /** Calls the listener after newer changes were added and after each restart. */
+  onChanges(listener: () => void): Disposable;
 }
 
-/** Changes that are kept: those of several seconds in which all servers of a large fleet change. */
-const MOST_KEPT = 4_000;
+/** Maximum number of kept changes: those of several seconds in which all servers of a large fleet change. */
+const MAX_KEPT_CHANGES = 4_000;
 
-/** A feed that knows of nothing yet. */
+/** Creates an empty feed. */
 export function createChangeFeed(): ChangeFeed {
   let kept: PublishedChange[] = [];
-  /** All changes after this revision are kept; undefined before anything was read. */
-  let beginsAfter: number | undefined;
-  let upTo = 0;
-  /** Era of all revisions here. */
+  /** All changes after this revision are kept; undefined before the first read. */
+  let keptAfterRevision: number | undefined;
+  let latestRevision = 0;
+  /** Era of all kept revisions. */
   let era: number | undefined;
   const listeners = new Set<() => void>();
-  const tell = () => {
+  const notifyListeners = () => {
     for (const listener of [...listeners]) listener();
   };
 
   const dropOldest = (): void => {
-    const surplus = kept.length - MOST_KEPT;
-    if (surplus <= 0) return;
-    beginsAfter = kept[surplus - 1]?.revision;
-    kept = kept.slice(surplus);
+    const excess = kept.length - MAX_KEPT_CHANGES;
+    if (excess <= 0) return;
+    keptAfterRevision = kept[excess - 1]?.revision;
+    kept = kept.slice(excess);
   };
 
   return {
     restart(position) {
       kept = [];
-      beginsAfter = position.revision;
-      upTo = position.revision;
+      keptAfterRevision = position.revision;
+      latestRevision = position.revision;
       era = position.era;
-      // Whoever waits for news has to begin anew as well.
-      tell();
+      // Waiting followers have to start over as well.
+      notifyListeners();
     },
-    add(after, news) {
-      if (news.kind === 'historyGone') return;
-      // A gap between what is kept and what came would be passed over by those who follow.
-      if (beginsAfter === undefined || after.era !== era || after.revision > upTo) {
+    add(after, update) {
+      if (update.kind === 'historyGone') return;
+      // Followers would miss the changes in a gap between the kept changes and the new ones.
+      if (keptAfterRevision === undefined || after.era !== era || after.revision > latestRevision) {
         kept = [];
-        beginsAfter = after.revision;
-        upTo = after.revision;
+        keptAfterRevision = after.revision;
+        latestRevision = after.revision;
         era = after.era;
       }
-      const newer = news.changes.filter(({ revision }) => revision > upTo);
+      const newer = update.changes.filter(({ revision }) => revision > latestRevision);
       kept.push(...newer);
-      upTo = Math.max(upTo, news.position.revision);
+      latestRevision = Math.max(latestRevision, update.position.revision);
       dropOldest();
-      if (newer.length > 0) tell();
+      if (newer.length > 0) notifyListeners();
     },
     since(position) {
       const { revision } = position;
-      const isKept = beginsAfter !== undefined && revision >= beginsAfter && position.era === era;
+      const isKept =
+        keptAfterRevision !== undefined && revision >= keptAfterRevision && position.era === era;
       if (!isKept) return { kind: 'historyGone' };
       const changes = kept.filter((change) => change.revision > revision);
-      const newest = { era: position.era, revision: Math.max(revision, upTo) };
+      const newest = { era: position.era, revision: Math.max(revision, latestRevision) };
       return { kind: 'changes', position: newest, changes };
     },
     era: () => era,
-    onNews(listener) {
+    onChanges(listener) {
       listeners.add(listener);
       return {
         [Symbol.dispose]() {
--- a/src/core/state-relay/choose-watcher.test.ts
+++ b/src/core/state-relay/choose-watcher.test.ts
@@ -3,7 +3,7 @@
 import { chooseWatcher } from './choose-watcher';
 import type { RelayInstance } from './types';
 
-function domain(name: string, count: number): readonly RelayInstance[] {
+function createDomain(name: string, count: number): readonly RelayInstance[] {
   return Array.from({ length: count }, (_, index) => ({
     instanceId: `${name}-${index}`,
     failureDomain: name,
@@ -11,31 +11,33 @@
   }));
 }
 
-/** Instances that watch for themselves, where all know all but those that `isDoubted` names. */
-function watchers(
+/**
+ * Returns the instances that watch the source, if each knows all others but skips those for which `isBackedOff` holds.
+ */
+function watcherIds(
   all: readonly RelayInstance[],
-  isDoubted: (instanceId: string) => boolean = () => false,
+  isBackedOff: (instanceId: string) => boolean = () => false,
 ): readonly string[] {
   return all
     .filter((self) => {
       const others = all.filter((other) => other !== self);
-      return chooseWatcher({ self, others, isDoubted }) === undefined;
+      return chooseWatcher({ self, others, isBackedOff }) === undefined;
     })
     .map(({ instanceId }) => instanceId);
 }
 
-describe('the choice of who watches', () => {
+describe('the choice of a watcher', () => {
   for (const count of [1, 3, 30, 300]) {
-    it(`names one of ${count} instances of a domain, the same for all`, () => {
-      const all = [...domain('a', count), ...domain('b', count)];
-      assert.equal(watchers(all).length, 2);
+    it(`selects one of ${count} instances of a domain, the same for all`, () => {
+      const all = [...createDomain('a', count), ...createDomain('b', count)];
+      assert.equal(watcherIds(all).length, 2);
       const followed = new Set(
-        domain('a', count).map(
+        createDomain('a', count).map(
           (self) =>
             chooseWatcher({
               self,
               others: all.filter(({ instanceId }) => instanceId !== self.instanceId),
-              isDoubted: () => false,
+              isBackedOff: () => false,
             })?.instanceId ?? self.instanceId,
         ),
       );
@@ -43,18 +45,18 @@
     });
   }
 
-  // The watcher of a domain has fallen silent, and all have noticed. One instance takes its place; were it all of them,
+  // The watcher of a domain stops answering, and all have noticed. Exactly one instance takes its place; if all did,
   // the source would be called by the whole fleet just when something is wrong.
-  it('names one other instance where the first is doubted', () => {
-    const all = domain('a', 30);
-    const [first] = watchers(all);
-    const next = watchers(all, (id) => id === first).filter((id) => id !== first);
+  it('selects one other instance if the first is backed off', () => {
+    const all = createDomain('a', 30);
+    const [first] = watcherIds(all);
+    const next = watcherIds(all, (id) => id === first).filter((id) => id !== first);
     assert.equal(next.length, 1);
   });
 
-  it('lets an instance watch that doubts all others', () => {
-    const [self, ...others] = domain('a', 5);
+  it('makes an instance watch the source if all others are backed off', () => {
+    const [self, ...others] = createDomain('a', 5);
     assert.ok(self !== undefined);
-    assert.equal(chooseWatcher({ self, others, isDoubted: () => true }), undefined);
+    assert.equal(chooseWatcher({ self, others, isBackedOff: () => true }), undefined);
   });
 });
--- a/src/core/state-relay/choose-watcher.ts
+++ b/src/core/state-relay/choose-watcher.ts
@@ -2,34 +2,35 @@
 import type { RelayInstance } from './types';
 
 /**
- * Which instance watches the source for the others of its failure domain.
+ * Chooses the instance that watches the source for all instances of its failure domain.
  *
- * With every instance watching, each change wakes the whole fleet, and the source is called as often as instances times
- * changes: hundreds of times a second for a few hundred instances. One of each failure domain watches, by an order
- * that all work out alike from their views; the others follow it. Domains fail by themselves, so each has its own, and
- * an instance that finds nobody before it in the order watches for itself.
+ * If every instance watched, each change would wake the whole fleet, and the source would be called as often as
+ * instances times changes: hundreds of times per second for a few hundred instances. Instead, one instance per failure
+ * domain watches, by a ranking that all compute alike from their membership views, and the others follow it. Domains
+ * fail independently, so each has its own watcher. An instance with no usable instance ranked before it watches the
+ * source.
  */
 
-/** What the choice looks at. */
-export interface WatcherChoice {
+/** Input of the choice of a watcher. */
+export interface WatcherChoiceInput {
   readonly self: Pick<RelayInstance, 'instanceId' | 'failureDomain'>;
-  /** Other instances that are held to be alive. */
+  /** Other instances that are considered alive. */
   readonly others: readonly RelayInstance[];
-  /** Whether an instance failed to answer as a watcher lately. */
-  readonly isDoubted: (instanceId: string) => boolean;
+  /** Whether an instance recently failed to answer as a watcher. */
+  readonly isBackedOff: (instanceId: string) => boolean;
 }
 
-/** Whom to follow; undefined where it is this instance's turn to watch the source. */
+/** Returns the instance to follow; undefined if this instance has to watch the source itself. */
 export function chooseWatcher({
   self,
   others,
-  isDoubted,
-}: WatcherChoice): RelayInstance | undefined {
-  const domain = others.filter(({ failureDomain }) => failureDomain === self.failureDomain);
-  const order = rankFor(self.failureDomain, [
+  isBackedOff,
+}: WatcherChoiceInput): RelayInstance | undefined {
+  const sameDomain = others.filter(({ failureDomain }) => failureDomain === self.failureDomain);
+  const ranking = rankFor(self.failureDomain, [
     self.instanceId,
-    ...domain.map(({ instanceId }) => instanceId),
+    ...sameDomain.map(({ instanceId }) => instanceId),
   ]);
-  const first = order.find((id) => id === self.instanceId || !isDoubted(id));
-  return domain.find(({ instanceId }) => instanceId === first);
+  const watcherId = ranking.find((id) => id === self.instanceId || !isBackedOff(id));
+  return sameDomain.find(({ instanceId }) => instanceId === watcherId);
 }
--- a/src/core/state-relay/create-relayed-source.test.ts
+++ b/src/core/state-relay/create-relayed-source.test.ts
@@ -7,8 +7,10 @@
 
 const state = (position: Position): PublishedState => ({ position, items: [], unreadable: [] });
 
-/** A follower that has read the source at era 2 and reads again while its watcher holds `watcherHas`. */
-async function readAgain(watcherHas: Position): Promise<Position> {
+/**
+ * Returns the position that a follower has after reading the source at era 2 and then reading again from its watcher.
+ */
+async function rereadPosition(watcherPosition: Position): Promise<Position> {
   const { signal } = new AbortController();
   const source: StateSource = {
     readAll: async () => state({ era: 2, revision: 10 }),
@@ -16,9 +18,9 @@
   };
   const watchers: WatcherClient = {
     watch: async () => ({ kind: 'answered', value: { kind: 'historyGone' } }),
-    readAll: async () => ({ kind: 'answered', value: state(watcherHas) }),
+    readAll: async () => ({ kind: 'answered', value: state(watcherPosition) }),
   };
-  // One of these comes before the follower in the order, whichever it is.
+  // At least one of these ranks before the follower.
   const others = Array.from({ length: 20 }, (_, index) => ({
     instanceId: `a-${index}`,
     failureDomain: 'north-a',
@@ -36,28 +38,28 @@
   return (await relayed.readAll(signal)).position;
 }
 
-/** Guards against a follower that takes over what was before a return of the source from a watcher that is behind. */
-describe('a follower that reads everything again', () => {
+/** Guards against a follower that adopts state from before a restore of the source from a watcher that is behind. */
+describe('a follower that reads the complete state again', () => {
   const cases = [
     {
-      name: 'takes what its watcher has of the same era',
+      name: 'adopts the state of its watcher of the same era',
       has: { era: 2, revision: 12 },
       revision: 12,
     },
     {
-      name: 'takes what its watcher has of a later era',
+      name: 'adopts the state of its watcher of a later era',
       has: { era: 3, revision: 4 },
       revision: 4,
     },
     {
-      name: 'reads the source where its watcher is an era behind',
+      name: 'reads the source if its watcher is an era behind',
       has: { era: 1, revision: 50 },
       revision: 10,
     },
   ];
   for (const { name, has, revision } of cases) {
     it(name, async () => {
-      assert.equal((await readAgain(has)).revision, revision);
+      assert.equal((await rereadPosition(has)).revision, revision);
     });
   }
 });
--- a/src/core/state-relay/create-relayed-source.ts
+++ b/src/core/state-relay/create-relayed-source.ts
@@ -7,92 +7,92 @@
 import type { ChangeFeed } from './change-feed';
 import { chooseWatcher } from './choose-watcher';
 import { STATE_RELAY_EVENTS } from './events';
-import { createNewsPace } from './news-pace';
+import { createCallPacer } from './news-pace';
 import type { RelayInstance } from './types';
-import { createWatcherDoubts } from './watcher-doubts';
+import { createWatcherBackoffs } from './watcher-doubts';
 
-/** What following is made from. */
+/** Options of a relayed source. */
 export interface RelayedSourceOptions {
   readonly clock: Clock;
   readonly logger: Logger;
-  /** What is published, read without anybody between. */
+  /** The source itself, read directly. */
   readonly source: StateSource;
   readonly watchers: WatcherClient;
   readonly self: Pick<RelayInstance, 'instanceId' | 'failureDomain'>;
-  /** Other instances that are held to be alive. */
+  /** Returns the other instances that are considered alive. */
   readonly others: () => readonly RelayInstance[];
 }
 
-/** What is published, learned from whoever is to tell this instance. */
+/** A source of published state that is read from the watcher of this instance, or directly if it has none. */
 export interface RelayedSource extends StateSource {
   readonly feed: ChangeFeed;
-  /** Monotonic time until which what is known here counts as up to date; in the past where it was never. */
+  /** Returns the monotonic time until which the local state counts as up to date; in the past if it never was. */
   freshUntilMs(): number;
-  /** Whether this instance watches the source itself. */
+  /** Returns whether this instance watches the source itself. */
   isWatching(): boolean;
 }
 
 /**
- * Instances that are asked before the source is, in one call. More would take as many timeouts, while a change has to
- * be known within seconds.
+ * Maximum number of watchers that one call tries before the source. Each further one could add a timeout, while a
+ * change has to be known within seconds.
  */
-const MOST_ASKED = 2;
-/** Time for which an answer of the source holds: a watch without news with the longest way, and a late event loop. */
-const FRESH_FOR_MS = 1_700;
+const MAX_WATCHERS_PER_CALL = 2;
+/** How long an answer of the source is valid, ms: a watch without changes over the longest link plus event loop lag. */
+const FRESHNESS_TTL_MS = 1_700;
 
-type Asked<Value> =
+type WatcherResult<Value> =
   { readonly kind: 'answered'; readonly value: Value } | { readonly kind: 'none' };
 
-/** A source that is watched by few instances and followed by the others. */
+/** Creates a source that few instances watch and the others follow. */
 export function createRelayedSource(options: RelayedSourceOptions): RelayedSource {
   const { clock, logger, source, watchers, self } = options;
   const feed = createChangeFeed();
-  const doubts = createWatcherDoubts();
-  const pace = createNewsPace();
+  const backoffs = createWatcherBackoffs();
+  const pacer = createCallPacer();
   let freshUntilMs = -Infinity;
   let hasRead = false;
-  /** Whose word this instance goes by; undefined for the source's own, 'nobody' before the first answer. */
-  let followed: string | undefined = 'nobody';
+  /** The watcher that this instance follows; undefined for the source itself, 'nobody' before the first answer. */
+  let followedInstanceId: string | undefined = 'nobody';
 
-  const noteFollowed = (instanceId: string | undefined): void => {
-    if (followed === instanceId) return;
-    followed = instanceId;
+  const recordFollowed = (instanceId: string | undefined): void => {
+    if (followedInstanceId === instanceId) return;
+    followedInstanceId = instanceId;
     if (instanceId === undefined) logger.event(STATE_RELAY_EVENTS.watching);
     else logger.event(STATE_RELAY_EVENTS.following, { peer: instanceId });
   };
 
-  const choose = (): RelayInstance | undefined => {
+  const chooseNextWatcher = (): RelayInstance | undefined => {
     const nowMs = clock.monotonicMs();
     return chooseWatcher({
       self,
       others: options.others(),
-      isDoubted: (instanceId) => doubts.isDoubted(instanceId, nowMs),
+      isBackedOff: (instanceId) => backoffs.isBackedOff(instanceId, nowMs),
     });
   };
 
-  /** Asks those who come before this instance in the order, as long as they are of no use. */
-  const askWatchers = async <Value>(
-    ask: (watcher: RelayInstance) => Promise<WatcherAnswer<Value>>,
-  ): Promise<Asked<Value>> => {
-    for (let asked = 0; asked < MOST_ASKED; asked += 1) {
-      const watcher = choose();
+  /** Calls the instances ranked before this one until one answers as a watcher or the maximum is reached. */
+  const callWatchers = async <Value>(
+    call: (watcher: RelayInstance) => Promise<WatcherAnswer<Value>>,
+  ): Promise<WatcherResult<Value>> => {
+    for (let attempts = 0; attempts < MAX_WATCHERS_PER_CALL; attempts += 1) {
+      const watcher = chooseNextWatcher();
       if (watcher === undefined) return { kind: 'none' };
       const { instanceId } = watcher;
-      const answer = await ask(watcher);
+      const answer = await call(watcher);
       if (answer.kind === 'answered') {
-        doubts.clear(instanceId);
-        noteFollowed(instanceId);
+        backoffs.clear(instanceId);
+        recordFollowed(instanceId);
         return answer;
       }
-      doubts.note(instanceId, answer.fault, clock.monotonicMs());
+      backoffs.recordFailure(instanceId, answer.fault, clock.monotonicMs());
       const { fault, reason } = answer;
       logger.event(STATE_RELAY_EVENTS.watcherFailed, { peer: instanceId, fault, reason });
     }
     return { kind: 'none' };
   };
 
-  /** What a watcher holds; of no use where it has not heard yet of a return of the source that is known here. */
-  const readFrom = async (
+  /** Reads the state of a watcher; fails if the watcher has not seen a restore of the source that is known here. */
+  const readFromWatcher = async (
     watcher: RelayInstance,
     signal: AbortSignal,
   ): Promise<WatcherAnswer<PublishedState>> => {
@@ -102,9 +102,9 @@
     return isBehind ? { kind: 'failed', fault: 'notFollowing', reason: 'an era behind' } : answer;
   };
 
-  const noteSourceAnswer = (): void => {
-    freshUntilMs = clock.monotonicMs() + FRESH_FOR_MS;
-    noteFollowed(undefined);
+  const recordSourceAnswer = (): void => {
+    freshUntilMs = clock.monotonicMs() + FRESHNESS_TTL_MS;
+    recordFollowed(undefined);
   };
 
   const watchSource = async (
@@ -112,13 +112,13 @@
     waitMs: number,
     signal: AbortSignal,
   ): Promise<PublishedChanges> => {
-    await sleepUntil(clock, pace.nextCallAtMs(), signal);
+    await sleepUntil(clock, pacer.nextCallAtMs(), signal);
     try {
-      const news = await source.watch(after, waitMs, signal);
-      noteSourceAnswer();
-      const hasNews = news.kind === 'changes' && news.changes.length > 0;
-      if (hasNews) pace.noteNews(clock.monotonicMs());
-      return news;
+      const update = await source.watch(after, waitMs, signal);
+      recordSourceAnswer();
+      const hasChanges = update.kind === 'changes' && update.changes.length > 0;
+      if (hasChanges) pacer.recordChanges(clock.monotonicMs());
+      return update;
     } catch (error) {
       freshUntilMs = -Infinity;
       throw error;
@@ -127,32 +127,32 @@
 
   const readSource = async (signal: AbortSignal): Promise<PublishedState> => {
     const state = await source.readAll(signal);
-    noteSourceAnswer();
+    recordSourceAnswer();
     return state;
   };
 
   return {
     feed,
     freshUntilMs: () => freshUntilMs,
-    isWatching: () => followed === undefined,
+    isWatching: () => followedInstanceId === undefined,
     async readAll(signal) {
-      // The first read of the source is under way before anything else is known.
-      const asked = hasRead
-        ? await askWatchers((watcher) => readFrom(watcher, signal))
+      // The first read goes to the source directly, since other instances are not known yet.
+      const result = hasRead
+        ? await callWatchers((watcher) => readFromWatcher(watcher, signal))
         : ({ kind: 'none' } as const);
-      const state = asked.kind === 'answered' ? asked.value : await readSource(signal);
+      const state = result.kind === 'answered' ? result.value : await readSource(signal);
       hasRead = true;
       feed.restart(state.position);
       return state;
     },
     async watch(after, waitMs, signal) {
-      const asked = await askWatchers((watcher) =>
+      const result = await callWatchers((watcher) =>
         watchers.watch(watcher.address, after, waitMs, signal),
       );
-      const news =
-        asked.kind === 'answered' ? asked.value : await watchSource(after, waitMs, signal);
-      feed.add(after, news);
-      return news;
+      const update =
+        result.kind === 'answered' ? result.value : await watchSource(after, waitMs, signal);
+      feed.add(after, update);
+      return update;
     },
   };
 }
--- a/src/core/state-relay/events.ts
+++ b/src/core/state-relay/events.ts
@@ -1,6 +1,6 @@
 import type { EventDefinition } from '../events';
 
-/** Events of following what is published through other instances. */
+/** Log events of following published state through other instances. */
 export const STATE_RELAY_EVENTS = {
   watching: {
     id: 4701,
@@ -13,14 +13,14 @@
     id: 4702,
     name: 'following-an-instance',
     level: 'info',
-    text: 'This instance learns of published state from another one.',
+    text: 'This instance follows another one for changes of published state.',
     action: 'Nothing.',
   },
   watcherFailed: {
     id: 4703,
     name: 'watcher-failed',
     level: 'info',
-    text: 'Another instance was of no use as a watcher; the next one or the source is asked.',
-    action: 'Look at that instance if many others name it for longer than a few seconds.',
+    text: 'Another instance failed as a watcher; the next one or the source is used instead.',
+    action: 'Check that instance if many others report it for longer than a few seconds.',
   },
 } as const satisfies Record<string, EventDefinition>;
--- a/src/core/state-relay/index.ts
+++ b/src/core/state-relay/index.ts
@@ -1,4 +1,4 @@
-/** What is published reaches a fleet: few instances watch the source, the others follow them. */
+/** Distributes published state in a fleet: few instances watch the source, the others follow them. */
 export { answerWatches } from './answer-watches';
 export { createWatcherClient } from './ask-watcher';
 export { createRelayedSource } from './create-relayed-source';
--- a/src/core/state-relay/news-pace.test.ts
+++ b/src/core/state-relay/news-pace.test.ts
@@ -1,42 +1,42 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { createNewsPace } from './news-pace';
+import { createCallPacer } from './news-pace';
 
-/** Calls that a watcher makes in `forMs` while the source has news all the time and answers at once. */
-function callsInStorm(forMs: number): number {
-  const pace = createNewsPace();
+/** Returns the calls that a watcher makes in `forMs` while the source always has changes and answers at once. */
+function countCallsDuringBurst(forMs: number): number {
+  const pacer = createCallPacer();
   let calls = 0;
   for (let nowMs = 0; nowMs < forMs; nowMs += 10) {
-    if (nowMs >= pace.nextCallAtMs()) {
+    if (nowMs >= pacer.nextCallAtMs()) {
       calls += 1;
-      pace.noteNews(nowMs);
+      pacer.recordChanges(nowMs);
     }
   }
   return calls;
 }
 
-describe('the pace of calls to the source', () => {
-  it('lets a single change through at once', () => {
-    const pace = createNewsPace();
-    pace.noteNews(1_000);
-    assert.ok(pace.nextCallAtMs() <= 1_000);
-    pace.noteNews(5_000);
-    assert.ok(pace.nextCallAtMs() <= 5_000);
+describe('the rate of calls to the source', () => {
+  it('allows a call at once after a single change', () => {
+    const pacer = createCallPacer();
+    pacer.recordChanges(1_000);
+    assert.ok(pacer.nextCallAtMs() <= 1_000);
+    pacer.recordChanges(5_000);
+    assert.ok(pacer.nextCallAtMs() <= 5_000);
   });
 
-  // Every server of a large deployment is replaced at once, and its entry changes several times. Whoever asks again at
-  // once makes a call for each change, on each watcher, and the source turns away whoever comes late.
-  it('makes two calls a second in a storm of changes', () => {
-    const calls = callsInStorm(10_000);
+  // All servers of a large deployment are replaced at once, and their entries change several times. Without a delay,
+  // each watcher would make a call for each change, and the source would refuse the later calls.
+  it('is two calls a second during a burst of changes', () => {
+    const calls = countCallsDuringBurst(10_000);
     assert.ok(calls <= 24, `${calls} calls`);
     assert.ok(calls >= 18, `${calls} calls`);
   });
 
-  it('lets a change through at once again after a calm', () => {
-    const pace = createNewsPace();
-    for (let count = 0; count < 10; count += 1) pace.noteNews(0);
-    assert.ok(pace.nextCallAtMs() > 0);
-    pace.noteNews(60_000);
-    assert.ok(pace.nextCallAtMs() <= 60_000);
+  it('allows a call at once again after a quiet period', () => {
+    const pacer = createCallPacer();
+    for (let count = 0; count < 10; count += 1) pacer.recordChanges(0);
+    assert.ok(pacer.nextCallAtMs() > 0);
+    pacer.recordChanges(60_000);
+    assert.ok(pacer.nextCallAtMs() <= 60_000);
   });
 });
--- a/src/core/state-relay/news-pace.ts
+++ b/src/core/state-relay/news-pace.ts
@@ -1,30 +1,30 @@
 /**
- * When the source may be asked again after it had news.
+ * Limits the rate of calls to the source after answers with changes.
  *
- * A single change is learned of at once. When the servers of a domain are replaced or a fleet starts, changes come by
- * the dozen, and without a pace each of them is a call of its own for each watcher; those that come within one rest share
- * an answer instead.
+ * A single change is fetched at once. When the servers of a domain are replaced or a fleet starts, changes come by the
+ * dozen, and without a limit each of them would cost each watcher a call. With the limit, changes within one interval
+ * share an answer.
  */
-export interface NewsPace {
-  /** Monotonic time at which the next call may be made. */
+export interface CallPacer {
+  /** Returns the monotonic time at which the next call may be made. */
   nextCallAtMs(): number;
-  /** An answer with news has come. */
-  noteNews(nowMs: number): void;
+  /** Records an answer with changes. */
+  recordChanges(nowMs: number): void;
 }
 
-/** Answers with news that may follow one another at once. */
-const AT_ONCE = 3;
-/** Rest between two answers with news beyond that, ms: a fraction of the time in which a change must be in force. */
-const REST_MS = 500;
+/** Maximum number of answers with changes that may follow one another without a delay. */
+const MAX_BURST = 3;
+/** Minimum interval between answers with changes after a burst, ms: a fraction of the time until a change is due. */
+const MIN_INTERVAL_MS = 500;
 
-/** A pace without news so far. */
-export function createNewsPace(): NewsPace {
-  /** Time at which all news so far would have come, had each been followed by a whole rest. */
-  let paidUpToMs = -Infinity;
+/** Creates a pacer without recorded changes. */
+export function createCallPacer(): CallPacer {
+  /** Time at which the intervals of all recorded answers would end if no two of them overlapped. */
+  let scheduledUpToMs = -Infinity;
   return {
-    nextCallAtMs: () => paidUpToMs - (AT_ONCE - 1) * REST_MS,
-    noteNews(nowMs) {
-      paidUpToMs = Math.max(nowMs, paidUpToMs) + REST_MS;
+    nextCallAtMs: () => scheduledUpToMs - (MAX_BURST - 1) * MIN_INTERVAL_MS,
+    recordChanges(nowMs) {
+      scheduledUpToMs = Math.max(nowMs, scheduledUpToMs) + MIN_INTERVAL_MS;
     },
   };
 }
--- a/src/core/state-relay/relay.test.ts
+++ b/src/core/state-relay/relay.test.ts
@@ -4,34 +4,37 @@
 import type { RelayFaults, RelayFleet, RelayFleetInstance } from '../../testing/relay-fleet';
 
 /**
- * Time within which a change is in force at every instance that could read the source, ms: the shortest time that
- * operators give for taking a server out of use.
+ * Maximum time until a change is in force at every instance that could read the source, ms: the shortest time that
+ * operators allow for taking a server out of use.
  */
 const IN_FORCE_MS = 3_000;
-/** Less than one wait for a silent watcher, ms. */
-const PASSED_OVER_MS = 800;
-/** Time for a fleet to settle who watches. */
+/** Time until a change is in force if a failed watcher is skipped, ms: less than one wait for its answer. */
+const SKIP_WITHIN_MS = 800;
+/** Time until the choice of watchers in a fleet is stable, ms. */
 const SETTLED_MS = 8_000;
 
-/** Moments of a watch at which a fault may come, ms after the fleet has settled. */
-const MOMENTS_MS = [0, 150, 400, 650, 900, 1_150];
+/** Offsets within a watch at which a fault is injected, ms after the fleet is stable. */
+const FAULT_OFFSETS_MS = [0, 150, 400, 650, 900, 1_150];
 
-/** Of a fleet in two domains within two seconds: of each watcher the watch that was cut, a read, and some watches. */
-const MOST_CALLS_AT_A_RETURN = 16;
+/**
+ * Maximum calls to the source within two seconds of its restore, for a fleet in two domains; per watcher: the
+ * interrupted watch, a read, and some watches.
+ */
+const MAX_CALLS_AFTER_RESTORE = 16;
 
-const watchersOf = (fleet: RelayFleet) =>
+const currentWatchers = (fleet: RelayFleet) =>
   fleet.instances.filter(({ relayed }) => relayed.isWatching());
 
-const isWell = ({ faults }: RelayFleetInstance) =>
+const isHealthy = ({ faults }: RelayFleetInstance) =>
   !faults.isSilent && !faults.hearsNobody && !faults.isCutFromSource;
 
-/** Publishes several changes, and checks that each is in force in time wherever the source can be read. */
+/** Publishes several changes, and checks that each comes into force in time wherever the source can be read. */
 async function checkChanges(fleet: RelayFleet, count = 3): Promise<void> {
   for (let change = 0; change < count; change += 1) {
     const version = fleet.publish();
     await fleet.run(IN_FORCE_MS);
     const behind = fleet.instances
-      .filter(isWell)
+      .filter(isHealthy)
       .filter((instance) => instance.version() < version)
       .map(({ instanceId }) => instanceId);
     assert.deepEqual(behind, [], `version ${version} is not in force`);
@@ -51,72 +54,73 @@
 
 interface FaultCase {
   readonly name: string;
-  readonly spoil: (fleet: RelayFleet) => void;
+  readonly injectFault: (fleet: RelayFleet) => void;
 }
 
-/** The watchers as they stand, each of them spoiled in one way. */
-const spoilWatchers = (faults: Partial<RelayFaults>) => (fleet: RelayFleet) => {
-  for (const watcher of watchersOf(fleet)) watcher.setFaults(faults);
+/** Returns a function that injects the same faults into each current watcher. */
+const injectWatcherFaults = (faults: Partial<RelayFaults>) => (fleet: RelayFleet) => {
+  for (const watcher of currentWatchers(fleet)) watcher.setFaults(faults);
 };
 
 const FAULTS: readonly FaultCase[] = [
   {
-    name: 'the watchers stand still',
-    spoil: spoilWatchers({ isSilent: true }),
+    name: 'the watchers stop answering',
+    injectFault: injectWatcherFaults({ isSilent: true }),
   },
   {
-    name: 'the watchers are cut off from the source alone',
-    spoil: spoilWatchers({ isCutFromSource: true }),
+    name: 'the watchers are cut off from the source only',
+    injectFault: injectWatcherFaults({ isCutFromSource: true }),
   },
   {
-    name: 'the watchers are heard and hear nobody',
-    spoil: spoilWatchers({ hearsNobody: true }),
+    name: 'the watchers answer calls but receive no answers to their own',
+    injectFault: injectWatcherFaults({ hearsNobody: true }),
   },
   {
     name: 'the watchers are slow',
-    spoil: spoilWatchers({ isSlowByMs: 300 }),
+    injectFault: injectWatcherFaults({ isSlowByMs: 300 }),
   },
   {
-    name: 'the watchers are held for dead and go on',
-    spoil: (fleet) => fleet.setDead(watchersOf(fleet).map(({ instanceId }) => instanceId)),
+    name: 'the watchers are considered dead and still run',
+    injectFault: (fleet) =>
+      fleet.setDead(currentWatchers(fleet).map(({ instanceId }) => instanceId)),
   },
   {
-    name: 'all but one of each domain are cut off from the source',
-    spoil(fleet) {
+    name: 'all but one instance of each domain are cut off from the source',
+    injectFault(fleet) {
       for (const instance of fleet.instances) {
         instance.setFaults({ isCutFromSource: !instance.instanceId.endsWith('-3') });
       }
     },
   },
   {
-    name: 'the source forgets its history',
-    spoil: (fleet) => fleet.forgetHistory(),
+    name: 'the source loses its history',
+    injectFault: (fleet) => fleet.forgetHistory(),
   },
 ];
 
-describe('what is published, followed by a fleet', () => {
+describe('published state, followed by a fleet', () => {
   it('is watched by one instance of each failure domain', () =>
     withFleet(async (fleet) => {
-      const domains = watchersOf(fleet).map(({ failureDomain }) => failureDomain);
+      const domains = currentWatchers(fleet).map(({ failureDomain }) => failureDomain);
       assert.deepEqual(domains.sort(), ['d0', 'd1']);
       await checkChanges(fleet);
     }));
 
-  // The instance that watches for its domain is lost to the others or to the source in one of many ways. Whoever goes by
-  // its word sends requests to servers that have left, while callers are told that all is well.
-  for (const { name, spoil } of FAULTS) {
-    for (const momentMs of MOMENTS_MS) {
-      it(`is in force in time when ${name}, from ${momentMs} ms on`, () =>
+  // The watcher of a domain is cut off from the others or from the source in one of many ways. An instance that relies
+  // on it would send requests to servers that have left, without any sign of a problem to callers.
+  for (const { name, injectFault } of FAULTS) {
+    for (const offsetMs of FAULT_OFFSETS_MS) {
+      it(`is in force in time when ${name}, from ${offsetMs} ms on`, () =>
         withFleet(async (fleet) => {
-          await fleet.run(momentMs);
-          spoil(fleet);
+          await fleet.run(offsetMs);
+          injectFault(fleet);
           await checkChanges(fleet);
         }));
     }
 
-    it(`is in force in time when ${name}, and they come back meanwhile`, () =>
+    it(`is in force in time when ${name} and recover meanwhile`, () =>
       withFleet(async (fleet) => {
-        spoil(fleet);
+        injectFault(fleet);
         fleet.publish();
         await fleet.run(1_500);
         for (const instance of fleet.instances) instance.setFaults(NO_FAULTS);
@@ -125,21 +129,22 @@
       }));
   }
 
-  // A watcher stays silent. Whoever asks it again before each watch learns of every change a second or two later than it could.
-  it('does not wait again for a watcher that has just been silent', () =>
+  // A watcher stops answering. An instance that calls it again before each watch would see every change a second or two
+  // late.
+  it('does not wait again for a watcher that has just failed to answer', () =>
     withFleet(async (fleet) => {
-      spoilWatchers({ isSilent: true })(fleet);
+      injectWatcherFaults({ isSilent: true })(fleet);
       await fleet.run(IN_FORCE_MS);
       const version = fleet.publish();
-      await fleet.run(PASSED_OVER_MS);
-      for (const instance of fleet.instances.filter(isWell)) {
+      await fleet.run(SKIP_WITHIN_MS);
+      for (const instance of fleet.instances.filter(isHealthy)) {
         assert.equal(instance.version(), version, instance.instanceId);
       }
     }));
 
-  // The source is away for some seconds and changes are made just when it is back. Instances that wait for one another
-  // then learn of them late.
-  it('is in force in time after the source was away', () =>
+  // The source is unavailable for some seconds and changes are published just when it returns. If instances waited for
+  // one another then, they would see the changes late.
+  it('is in force in time after an outage of the source', () =>
     withFleet(async (fleet) => {
       fleet.setSourceUp(false);
       await fleet.run(6_000);
@@ -147,21 +152,21 @@
       await checkChanges(fleet);
     }));
 
-  // The source comes back from an older copy, and its revisions are given out again. Whoever compares them with those of
-  // before passes over what is new, and goes on with old routes for good.
-  for (const momentMs of MOMENTS_MS) {
-    it(`is in force in time after the source came back from an older copy, from ${momentMs} ms on`, () =>
+  // The source is restored from an older backup, and its revisions are assigned again. An instance that compares them
+  // with those of before would ignore new changes, and keep old routes for good.
+  for (const offsetMs of FAULT_OFFSETS_MS) {
+    it(`is in force in time after the source was restored from an older backup, from ${offsetMs} ms on`, () =>
       withFleet(async (fleet) => {
         for (let change = 0; change < 6; change += 1) fleet.publish();
-        await fleet.run(1_000 + momentMs);
+        await fleet.run(1_000 + offsetMs);
         fleet.restore(5);
         await checkChanges(fleet);
       }));
 
-    it(`is in force in time after it was away and came back so, from ${momentMs} ms on`, () =>
+    it(`is in force in time after an outage and a restore from an older backup, from ${offsetMs} ms on`, () =>
       withFleet(async (fleet) => {
         for (let change = 0; change < 6; change += 1) fleet.publish();
-        await fleet.run(1_000 + momentMs);
+        await fleet.run(1_000 + offsetMs);
         fleet.setSourceUp(false);
         await fleet.run(60);
         fleet.restore(5);
@@ -171,7 +176,7 @@
       }));
   }
 
-  it('is in force in time after the source came back from an older copy twice within a second', () =>
+  it('is in force in time after the source was restored from an older backup twice within a second', () =>
     withFleet(async (fleet) => {
       for (let change = 0; change < 6; change += 1) fleet.publish();
       await fleet.run(1_000);
@@ -182,19 +187,19 @@
       await checkChanges(fleet);
     }));
 
-  it('is in force in time after a return of the source that the watchers cannot see', () =>
+  it('is in force in time after a restore of the source that the watchers cannot see', () =>
     withFleet(async (fleet) => {
       for (let change = 0; change < 6; change += 1) fleet.publish();
       await fleet.run(1_000);
-      spoilWatchers({ isCutFromSource: true })(fleet);
+      injectWatcherFaults({ isCutFromSource: true })(fleet);
       fleet.restore(5);
       await checkChanges(fleet);
     }));
 
-  // Were each instance to read everything when the source is back, a fleet of hundreds would ask for hundreds of times all
-  // that it holds, just when it has come back.
+  // If each instance read the complete state when the source returns, a fleet of hundreds would request the complete
+  // state hundreds of times from a source that has just recovered.
   for (const instancesPerDomain of [4, 15, 150]) {
-    it(`costs ${2 * instancesPerDomain} instances few calls when the source comes back from a copy`, () =>
+    it(`needs few calls by ${2 * instancesPerDomain} instances when the source is restored from a backup`, () =>
       withFleet(async (fleet) => {
         for (let change = 0; change < 6; change += 1) fleet.publish();
         await fleet.run(1_000);
@@ -202,14 +207,14 @@
         fleet.restore(5);
         await fleet.run(2_000);
         const calls = fleet.sourceCalls() - before;
-        assert.ok(calls <= MOST_CALLS_AT_A_RETURN, `${calls} calls`);
+        assert.ok(calls <= MAX_CALLS_AFTER_RESTORE, `${calls} calls`);
         await checkChanges(fleet);
       }, instancesPerDomain));
   }
 
-  // Configurations follow one another within fractions of a second. A follower that takes an older one after a newer one
-  // serves requests by routes that are gone.
-  it('never goes back in a storm of changes', () =>
+  // Configurations follow one another within fractions of a second. A follower that adopts an older one after a newer
+  // one would serve requests by routes that no longer exist.
+  it('never goes back to an older version during a burst of changes', () =>
     withFleet(async (fleet) => {
       for (let change = 0; change < 100; change += 1) {
         fleet.publish();
@@ -218,9 +223,9 @@
       await checkChanges(fleet);
     }));
 
-  // A fleet grows tenfold before the same source. Were each instance to watch, the source would be called ten times as
-  // often, and turns away whoever comes late.
-  it('costs a fleet of 300 no more than three times the calls of one of 30', async () => {
+  // A fleet grows tenfold with the same source. If each instance watched, the source would be called ten times as
+  // often, and would refuse the later calls.
+  it('needs at most three times as many calls for 300 instances as for 30', async () => {
     const callsOf = async (instancesPerDomain: number) => {
       let calls = 0;
       await withFleet(async (fleet) => {
--- a/src/core/state-relay/types.ts
+++ b/src/core/state-relay/types.ts
@@ -1,7 +1,7 @@
-/** An instance as the choice of watchers sees it. */
+/** The properties of an instance that the choice of watchers depends on. */
 export interface RelayInstance {
   readonly instanceId: string;
   readonly failureDomain: string;
-  /** Where it answers calls of other instances. */
+  /** Address of its listener for calls of other instances. */
   readonly address: string;
 }
--- a/src/core/state-relay/watcher-doubts.ts
+++ b/src/core/state-relay/watcher-doubts.ts
@@ -1,56 +1,62 @@
-/** Why an instance was of no use as a watcher. */
+/** Reason why an instance could not serve as a watcher. */
 export type WatcherFault =
-  /** It answered that it does not follow the source itself. */
+  /** It answered that it does not follow the source itself, or its state is of an earlier era than known here. */
   | 'notFollowing'
-  /** It did not answer, or nothing that could be read. */
+  /** It did not answer, or its answer could not be parsed. */
   | 'noAnswer';
 
-/** Which instances were of no use as watchers lately. */
-export interface WatcherDoubts {
-  isDoubted(instanceId: string, nowMs: number): boolean;
-  note(instanceId: string, fault: WatcherFault, nowMs: number): void;
-  /** It answered as a watcher does. */
+/** Backoffs of instances that recently failed as watchers. */
+export interface WatcherBackoffs {
+  isBackedOff(instanceId: string, nowMs: number): boolean;
+  recordFailure(instanceId: string, fault: WatcherFault, nowMs: number): void;
+  /** Ends the backoff of an instance that answered as a watcher. */
   clear(instanceId: string): void;
 }
 
 /**
- * Time for which one that does not follow the source is passed over, ms. It says so at once, so that asking again costs
- * little, and whoever steps in for a watcher begins within a second.
+ * How long an instance that does not follow the source is skipped, ms. It says so at once, so that calling it again
+ * costs little, and an instance that replaces a watcher begins within a second.
  */
-const NOT_FOLLOWING_MS = 1_000;
-/** Time for which one that is silent is passed over, ms: to find out takes each time as long as a watch may last. */
-const FIRST_SILENT_MS = 5_000;
-/** The longest such time; doubled with each failure up to this. */
-const LONGEST_SILENT_MS = 60_000;
+const NOT_FOLLOWING_BACKOFF_MS = 1_000;
+/** How long an instance that did not answer is skipped at first, ms: each new call may wait as long as a watch. */
+const INITIAL_NO_ANSWER_BACKOFF_MS = 5_000;
+/** Maximum time for which an instance that did not answer is skipped, ms; it doubles with each failure up to this. */
+const MAX_NO_ANSWER_BACKOFF_MS = 60_000;
 
-interface Doubt {
+interface Backoff {
   readonly untilMs: number;
-  readonly silences: number;
+  readonly noAnswerCount: number;
 }
 
-function nextDoubt(silencesBefore: number, fault: WatcherFault, nowMs: number): Doubt {
+function nextBackoff(previousNoAnswerCount: number, fault: WatcherFault, nowMs: number): Backoff {
   switch (fault) {
     case 'notFollowing':
-      return { untilMs: nowMs + NOT_FOLLOWING_MS, silences: 0 };
+      return { untilMs: nowMs + NOT_FOLLOWING_BACKOFF_MS, noAnswerCount: 0 };
     case 'noAnswer': {
-      const restMs = Math.min(LONGEST_SILENT_MS, FIRST_SILENT_MS * 2 ** silencesBefore);
-      return { untilMs: nowMs + restMs, silences: silencesBefore + 1 };
+      const backoffMs = Math.min(
+        MAX_NO_ANSWER_BACKOFF_MS,
+        INITIAL_NO_ANSWER_BACKOFF_MS * 2 ** previousNoAnswerCount,
+      );
+      return { untilMs: nowMs + backoffMs, noAnswerCount: previousNoAnswerCount + 1 };
     }
     default:
       return fault satisfies never;
   }
 }
 
-/** No doubts yet. */
-export function createWatcherDoubts(): WatcherDoubts {
-  const doubts = new Map<string, Doubt>();
+/** Creates an empty set of backoffs. */
+export function createWatcherBackoffs(): WatcherBackoffs {
+  const backoffs = new Map<string, Backoff>();
   return {
-    isDoubted: (instanceId, nowMs) => (doubts.get(instanceId)?.untilMs ?? -Infinity) > nowMs,
-    note(instanceId, fault, nowMs) {
-      doubts.set(instanceId, nextDoubt(doubts.get(instanceId)?.silences ?? 0, fault, nowMs));
+    isBackedOff: (instanceId, nowMs) => (backoffs.get(instanceId)?.untilMs ?? -Infinity) > nowMs,
+    recordFailure(instanceId, fault, nowMs) {
+      backoffs.set(
+        instanceId,
+        nextBackoff(backoffs.get(instanceId)?.noAnswerCount ?? 0, fault, nowMs),
+      );
     },
     clear(instanceId) {
-      doubts.delete(instanceId);
+      backoffs.delete(instanceId);
     },
   };
 }
--- a/src/core/state-sync/changes-message.ts
+++ b/src/core/state-sync/changes-message.ts
@@ -3,7 +3,7 @@
 import { fromMessageItem, itemSchema, toMessageItem } from './snapshot-message';
 import type { PublishedChange, PublishedChanges } from './types';
 
-/** What an instance that watches the source hands on to those that follow it. */
+/** Messages in which an instance that watches the source forwards changes to its followers. */
 
 const revision = z.number();
 
@@ -38,13 +38,13 @@
   return change.kind === 'put' ? { ...change, item: toMessageItem(change.item) } : change;
 }
 
-/** Changes as text. */
-export function writeChanges(news: Extract<PublishedChanges, { kind: 'changes' }>): string {
-  return JSON.stringify({ position: news.position, changes: news.changes.map(toMessage) });
+/** Serializes changes as JSON. */
+export function serializeChanges(update: Extract<PublishedChanges, { kind: 'changes' }>): string {
+  return JSON.stringify({ position: update.position, changes: update.changes.map(toMessage) });
 }
 
-/** Changes from text; throws where they are none. */
-export function readChanges(text: string): PublishedChanges {
-  const news = changesSchema.parse(JSON.parse(text));
-  return { kind: 'changes', position: news.position, changes: news.changes.map(fromMessage) };
+/** Parses changes from JSON; throws if the text is not a valid message. */
+export function parseChanges(text: string): PublishedChanges {
+  const update = changesSchema.parse(JSON.parse(text));
+  return { kind: 'changes', position: update.position, changes: update.changes.map(fromMessage) };
 }
--- a/src/core/state-sync/create-state-sync.ts
+++ b/src/core/state-sync/create-state-sync.ts
@@ -5,9 +5,9 @@
 import type { RouteTableStore } from '../host-routes';
 import type { RandomSource } from '../random';
 import type { ServerRegistry } from '../server-registry';
-import { createDoubtedEntries } from './doubted-entries';
+import { createServerQuarantine } from './doubted-entries';
 import { STATE_SYNC_EVENTS } from './events';
-import { createLaterRoutes } from './later-routes';
+import { createRoutesCatchUp } from './later-routes';
 import { isLater } from './position';
 import type { Position } from './position';
 import type {
@@ -20,7 +20,7 @@
   UnreadableItem,
 } from './types';
 
-/** What the copy is kept with. */
+/** Options of the local copy of published state. */
 export interface StateSyncOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -28,91 +28,86 @@
   readonly source: StateSource;
   readonly routes: RouteTableStore;
   readonly servers: ServerRegistry;
-  /** Routes of another version are in force. */
+  /** Called after another version of the routes has come into force. */
   readonly onRoutes?: () => void;
-  /** What another instance has, when the source does not answer; undefined when it does not answer. Never rejects. */
+  /** Reads the state of another instance while the source is unavailable; undefined if none answers. Never rejects. */
   readonly askPeer: (signal: AbortSignal) => Promise<PublishedState | undefined>;
-  /** Highest version of the routes that another instance has in force, as far as is known; 0 for none. */
+  /** Returns the highest version of the routes known to be in force at another instance; 0 if none is known. */
   readonly latestElsewhere: () => number;
 }
 
-/** A copy of what is published, kept up to date by a watch. */
+/** A local copy of published state, kept up to date by watching the source. */
 export interface StateSync extends AsyncDisposable {
   start(): void;
-  /** Everything that is held here, for another instance that cannot reach the source. */
+  /** Returns the complete copy, for another instance that cannot reach the source. */
   snapshot(): PublishedState;
-  /**
-   * Monotonic time since which every change of what is published has been seen; undefined while changes may be missed.
-   */
+  /** Returns the monotonic time since which no published change was missed; undefined while changes may be missed. */
   followedSinceMs(): number | undefined;
 }
 
-/** First rest after a failed call; doubles up to the longest. Short, since changes are due within seconds. */
-const FIRST_REST_MS = 100;
-/** Longest rest: a source that is back is noticed within this time, at one call a second and instance. */
-const LONGEST_REST_MS = 1_000;
+/** Base of the backoff after failed calls, ms; doubles with each failure. Short, as changes are due within seconds. */
+const BASE_BACKOFF_MS = 100;
+/** Maximum backoff, ms: a recovered source is noticed within this time, at one call per second and instance. */
+const MAX_BACKOFF_MS = 1_000;
 /**
- * Longest wait of one watch. A connection that has gone silent is noticed a little later than this, which has to
- * be well within the seconds in which a change has to be in force.
+ * Maximum wait of one watch, ms. A connection that stopped responding is detected slightly later than this, which has
+ * to be well within the seconds in which a change must come into force.
  */
 const WATCH_WAIT_MS = 1_000;
-/** Time beyond its wait after which a watch is overdue, ms: the rest after news, and a round trip of the longest links. */
-const OVERDUE_AFTER_MS = 700;
-/** Wait of a watch that only has to show whether the source answers again. */
-const DOUBT_WAIT_MS = 100;
-/** Calls that fail in a row before an operator is told: one lost connection is no outage. */
-const FAILURES_TO_TELL = 2;
-/**
- * How long entries may be missing after an outage of the source before they count as gone: servers that live
- * announce themselves again within about two seconds of its return.
- */
-const REAPPEAR_WITHIN_MS = 2_500;
+/** Time past its wait until a watch is overdue, ms: pause in source calls after changes plus the longest round trip. */
+const OVERDUE_GRACE_MS = 700;
+/** Wait of a watch that only checks whether the source answers again, ms. */
+const PROBE_WAIT_MS = 100;
+/** Consecutive failed calls before the outage is logged: a single lost connection is not an outage. */
+const MIN_FAILURES_TO_LOG = 2;
+/** Delay of removals after a source outage, ms: running servers announce themselves again within about two seconds. */
+const REMOVAL_GRACE_MS = 2_500;
 
-/** Position of whoever has read nothing. */
-const NOWHERE: Position = { era: 0, revision: 0 };
+/** Position before the first read. */
+const INITIAL_POSITION: Position = { era: 0, revision: 0 };
 
-/** A copy that holds nothing yet. */
+/** Creates an empty copy that is filled and kept up to date after `start`. */
 export function createStateSync(options: StateSyncOptions): StateSync {
   const { clock, random, logger, source, routes, servers } = options;
-  const stopping = new AbortController();
-  const tables = new Map<number, PublishedItem>();
+  const stopController = new AbortController();
+  const routesItems = new Map<number, PublishedItem>();
   const announcements = new Map<string, ServerItem>();
   let position: Position | undefined;
-  let failures = 0;
+  let failureCount = 0;
   let lastAnswerAtMs = -Infinity;
   let followedSinceMs: number | undefined;
-  let regainedAtMs = -Infinity;
-  /** When the source was first heard after it came back from an older copy, monotonic ms. */
-  let restoredAtMs = -Infinity;
-  let isAskingPeer = false;
-  /** What was read last, whether it still holds or not. */
-  let lastRead: Position | undefined;
+  let sourceRegainedAtMs = -Infinity;
+  /** Monotonic time of the first answer of the source after it was restored from an older backup, ms. */
+  let sourceRestoredAtMs = -Infinity;
+  let isPeerRequestPending = false;
+  /** Position of the last read; kept when `position` is reset because the history is gone. */
+  let lastReadPosition: Position | undefined;
   /** Era in which the routes in force were written. */
   let routesEra = 0;
-  /** Timers of removals that wait for the server to come back, by server. */
-  const deferred = createKeyedTimers(clock);
-  /** Timers of evacuations that wait to be published again, by failure domain. */
-  const endingEvacuations = createKeyedTimers(clock);
-  let task: Promise<void> = Promise.resolve();
+  /** Timers of removals that wait for the server to announce itself again, by server id. */
+  const pendingRemovals = createKeyedTimers(clock);
+  /** Timers of evacuations that end unless they are published again, by failure domain. */
+  const pendingEvacuationEnds = createKeyedTimers(clock);
+  let watchTask: Promise<void> = Promise.resolve();
 
-  const doubted = createDoubtedEntries(clock, putServer);
+  const quarantine = createServerQuarantine(clock, putServer);
 
   function putServer(item: ServerItem): void {
     const { announcement } = item;
-    doubted.drop(announcement.serverId);
+    quarantine.clear(announcement.serverId);
     const before = servers.get(announcement.serverId);
     servers.put(announcement, clock.monotonicMs());
     const after = servers.get(announcement.serverId);
     const isOfEarlierStart = after?.startedAtUnixMs !== announcement.startedAtUnixMs;
     if (isOfEarlierStart) return;
     announcements.set(announcement.serverId, item);
-    deferred.cancel(announcement.serverId);
+    pendingRemovals.cancel(announcement.serverId);
     const wasCold = (before?.coldUntilMs ?? 0) > clock.monotonicMs();
-    const isNews =
+    const isChanged =
       before?.incarnationId !== after?.incarnationId ||
       before?.isDraining !== announcement.isDraining ||
       wasCold !== announcement.coldForMs > 0;
-    if (!isNews) return;
+    if (!isChanged) return;
     const { serverId, service, address, isDraining, coldForMs } = announcement;
     const state = isDraining ? 'draining' : 'ready';
     const fields = { server: after?.incarnationId ?? serverId, service, address, state, coldForMs };
@@ -120,24 +115,27 @@
   }
 
   const setEvacuated = (failureDomain: string, isEvacuated: boolean): void => {
-    endingEvacuations.cancel(failureDomain);
+    pendingEvacuationEnds.cancel(failureDomain);
     if (servers.evacuated().includes(failureDomain) === isEvacuated) return;
     servers.setEvacuated(failureDomain, isEvacuated, clock.monotonicMs());
     logger.event(STATE_SYNC_EVENTS.evacuationChanged, { failureDomain, isEvacuated });
   };
 
-  /** What is written in a later era goes before what stood under the same version in one that is lost. */
+  /**
+   * Puts a version of the routes in force unless a later one is. If it was written in a later era, it also replaces
+   * routes of the same version, which belong to the history that was lost when the source was restored.
+   */
   const putRoutes = (item: RoutesItem, era: number): void => {
     const { table } = item;
     const inForce = routes.current()?.table.version;
     if (inForce !== undefined && table.version < inForce) {
-      logger.event(STATE_SYNC_EVENTS.olderRoutesPassedOver, { version: table.version, inForce });
+      logger.event(STATE_SYNC_EVENTS.olderRoutesIgnored, { version: table.version, inForce });
     }
-    const isOffered = era > routesEra ? routes.offerAgain(table) : routes.offer(table);
-    if (!isOffered) return;
+    const isAccepted = era > routesEra ? routes.offerAgain(table) : routes.offer(table);
+    if (!isAccepted) return;
     routesEra = era;
-    tables.clear();
-    tables.set(table.version, item);
+    routesItems.clear();
+    routesItems.set(table.version, item);
     logger.event(STATE_SYNC_EVENTS.routesInForce, {
       version: table.version,
       routes: table.routes.length,
@@ -148,7 +146,7 @@
     options.onRoutes?.();
   };
 
-  const put = (item: PublishedItem, era: number): void => {
+  const putItem = (item: PublishedItem, era: number): void => {
     switch (item.kind) {
       case 'routes':
         putRoutes(item, era);
@@ -168,50 +166,50 @@
     if (servers.get(serverId) === undefined) return;
     servers.remove(serverId);
     announcements.delete(serverId);
-    doubted.noteGone(serverId);
+    quarantine.recordRemoval(serverId);
     logger.event(STATE_SYNC_EVENTS.serverChanged, { server: serverId, state: 'gone' });
   };
 
   /**
-   * An entry that cannot be read ends what stood there before, at once: a server that is still sent to by its old
-   * entry may have left, or may be another one by now.
+   * Logs an unreadable item and, if it should describe a server, removes that server at once. The previous entry of the
+   * server is no longer valid: the server may have left, or another one may use its address.
    */
-  const noteUnreadable = ({ key, serverId, reason }: UnreadableItem): void => {
+  const handleUnreadable = ({ key, serverId, reason }: UnreadableItem): void => {
     logger.event(STATE_SYNC_EVENTS.itemUnreadable, { key, reason });
     if (serverId !== undefined) removeServer(serverId);
   };
 
   /**
-   * Entries lapse while the source is away, and their removal is told when it is back, although the servers
-   * live and announce themselves again at once. Taking all of them out of use for that moment would refuse
-   * every request; so right after an outage a removal waits for the server to come back.
+   * Removes a server, after a grace period if the source has just recovered from an outage. Entries expire while the
+   * source is unavailable and their removals are reported once it returns, although the servers still run and announce
+   * themselves again at once. If all of them were removed until then, every request would be refused.
    */
-  const removeWhenSure = (serverId: string): void => {
-    const sureAtMs = regainedAtMs + REAPPEAR_WITHIN_MS;
-    const goneItem = announcements.get(serverId);
-    if (clock.monotonicMs() >= sureAtMs || goneItem === undefined) {
+  const removeServerAfterGrace = (serverId: string): void => {
+    const removeAtMs = sourceRegainedAtMs + REMOVAL_GRACE_MS;
+    const removedItem = announcements.get(serverId);
+    if (clock.monotonicMs() >= removeAtMs || removedItem === undefined) {
       removeServer(serverId);
       return;
     }
-    deferred.set(serverId, sureAtMs, () => {
-      if (announcements.get(serverId) === goneItem) removeServer(serverId);
+    pendingRemovals.set(serverId, removeAtMs, () => {
+      if (announcements.get(serverId) === removedItem) removeServer(serverId);
     });
   };
 
-  const apply = (change: PublishedChange, era: number): void => {
+  const applyChange = (change: PublishedChange, era: number): void => {
     switch (change.kind) {
       case 'put':
-        put(change.item, era);
+        putItem(change.item, era);
         return;
       case 'serverGone':
-        doubted.noteGone(change.serverId);
-        removeWhenSure(change.serverId);
+        quarantine.recordRemoval(change.serverId);
+        removeServerAfterGrace(change.serverId);
         return;
       case 'evacuationEnded':
         setEvacuated(change.failureDomain, false);
         return;
       case 'unreadable':
-        noteUnreadable(change.item);
+        handleUnreadable(change.item);
         return;
       default:
         change satisfies never;
@@ -219,31 +217,32 @@
   };
 
   /**
-   * An evacuation that an older copy does not hold is published again within the time in which servers are back. Ended
-   * meanwhile, it would let requests in where operators are at work.
+   * Ends an evacuation that the source no longer holds, after a grace period if the source was restored. An evacuation
+   * that is missing in an older backup is published again within the time in which servers reappear. Ending it before
+   * would admit requests to a failure domain that operators are working on.
    */
-  const endEvacuationWhenSure = (failureDomain: string): void => {
-    const sureAtMs = restoredAtMs + REAPPEAR_WITHIN_MS;
-    if (clock.monotonicMs() >= sureAtMs) {
+  const endEvacuationAfterGrace = (failureDomain: string): void => {
+    const endAtMs = sourceRestoredAtMs + REMOVAL_GRACE_MS;
+    if (clock.monotonicMs() >= endAtMs) {
       setEvacuated(failureDomain, false);
       return;
     }
-    endingEvacuations.set(failureDomain, sureAtMs, () => setEvacuated(failureDomain, false));
+    pendingEvacuationEnds.set(failureDomain, endAtMs, () => setEvacuated(failureDomain, false));
   };
 
-  const applyAll = (state: PublishedState): void => {
+  const applyState = (state: PublishedState): void => {
     const { era } = state.position;
-    const isOlderCopy = lastRead !== undefined && era > lastRead.era;
-    for (const item of state.unreadable) noteUnreadable(item);
+    const isSourceRestored = lastReadPosition !== undefined && era > lastReadPosition.era;
+    for (const item of state.unreadable) handleUnreadable(item);
     for (const item of state.items) {
-      const isHeld = isOlderCopy && item.kind === 'server' && doubted.hold(item);
-      if (!isHeld) put(item, era);
+      const isHeld = isSourceRestored && item.kind === 'server' && quarantine.holdIfRemoved(item);
+      if (!isHeld) putItem(item, era);
     }
     const evacuated = new Set(
       state.items.flatMap((item) => (item.kind === 'evacuation' ? [item.failureDomain] : [])),
     );
     for (const domain of servers.evacuated()) {
-      if (!evacuated.has(domain)) endEvacuationWhenSure(domain);
+      if (!evacuated.has(domain)) endEvacuationAfterGrace(domain);
     }
   };
 
@@ -252,128 +251,128 @@
       state.items.flatMap((item) => (item.kind === 'server' ? [item.announcement.serverId] : [])),
     );
     for (const { serverId } of servers.all()) {
-      if (!listed.has(serverId)) removeWhenSure(serverId);
+      if (!listed.has(serverId)) removeServerAfterGrace(serverId);
     }
   };
 
-  const noteAnswer = (): void => {
+  const recordAnswer = (): void => {
     lastAnswerAtMs = clock.monotonicMs();
-    if (failures > 0) regainedAtMs = clock.monotonicMs();
-    if (failures >= FAILURES_TO_TELL) logger.event(STATE_SYNC_EVENTS.sourceRegained);
-    failures = 0;
+    if (failureCount > 0) sourceRegainedAtMs = clock.monotonicMs();
+    if (failureCount >= MIN_FAILURES_TO_LOG) logger.event(STATE_SYNC_EVENTS.sourceRegained);
+    failureCount = 0;
     followedSinceMs ??= clock.monotonicMs();
   };
 
-  /** The source has come back from an older copy where the era is a later one. */
-  const noteEra = (after: Position): void => {
-    if (lastRead === undefined || after.era <= lastRead.era) return;
-    regainedAtMs = clock.monotonicMs();
-    restoredAtMs = regainedAtMs;
+  /** Records and logs a restore of the source from an older backup, which is detected by a later era. */
+  const detectRestoredSource = (current: Position): void => {
+    if (lastReadPosition === undefined || current.era <= lastReadPosition.era) return;
+    sourceRegainedAtMs = clock.monotonicMs();
+    sourceRestoredAtMs = sourceRegainedAtMs;
     logger.event(STATE_SYNC_EVENTS.sourceRestored, {
-      era: after.era,
-      revision: after.revision,
-      eraBefore: lastRead.era,
-      revisionBefore: lastRead.revision,
+      era: current.era,
+      revision: current.revision,
+      eraBefore: lastReadPosition.era,
+      revisionBefore: lastReadPosition.revision,
     });
   };
 
-  const readAgain = async (): Promise<void> => {
-    const state = await source.readAll(stopping.signal);
-    noteAnswer();
-    noteEra(state.position);
-    applyAll(state);
+  const readCompleteState = async (): Promise<void> => {
+    const state = await source.readAll(stopController.signal);
+    recordAnswer();
+    detectRestoredSource(state.position);
+    applyState(state);
     removeMissing(state);
     position = state.position;
-    lastRead = position;
+    lastReadPosition = position;
   };
 
-  const laterRoutes = createLaterRoutes({
+  const routesCatchUp = createRoutesCatchUp({
     clock,
     routes,
-    latestElsewhere: options.latestElsewhere,
-    askPeer: () => options.askPeer(stopping.signal),
-    take: (item) => putRoutes(item, routesEra),
+    latestPeerVersion: options.latestElsewhere,
+    readPeerState: () => options.askPeer(stopController.signal),
+    applyRoutes: (item) => putRoutes(item, routesEra),
   });
 
   const watchOnce = async (after: Position): Promise<void> => {
-    const waitMs = failures === 0 ? WATCH_WAIT_MS : DOUBT_WAIT_MS;
-    const news = await source.watch(after, waitMs, stopping.signal);
-    noteAnswer();
-    if (news.kind === 'historyGone') {
+    const waitMs = failureCount === 0 ? WATCH_WAIT_MS : PROBE_WAIT_MS;
+    const update = await source.watch(after, waitMs, stopController.signal);
+    recordAnswer();
+    if (update.kind === 'historyGone') {
       position = undefined;
       followedSinceMs = undefined;
       return;
     }
-    for (const change of news.changes) apply(change, news.position.era);
-    position = news.position;
-    lastRead = position;
-    laterRoutes.look();
+    for (const change of update.changes) applyChange(change, update.position.era);
+    position = update.position;
+    lastReadPosition = position;
+    routesCatchUp.check();
   };
 
   /**
-   * Takes over what another instance has. Nothing waits for this: an instance that does not answer must not keep
-   * this one from noticing that the source is back.
+   * Requests the state of another instance and applies it if it is later than the local one. This is never awaited, so
+   * that an instance that does not answer cannot delay the detection that the source is back.
    */
-  const askPeer = async (): Promise<void> => {
-    if (isAskingPeer) return;
-    isAskingPeer = true;
-    const state = await options.askPeer(stopping.signal);
-    isAskingPeer = false;
-    if (state === undefined || failures === 0) return;
+  const applyPeerState = async (): Promise<void> => {
+    if (isPeerRequestPending) return;
+    isPeerRequestPending = true;
+    const state = await options.askPeer(stopController.signal);
+    isPeerRequestPending = false;
+    if (state === undefined || failureCount === 0) return;
     if (position !== undefined && !isLater(state.position, position)) return;
-    noteEra(state.position);
-    applyAll(state);
-    logger.event(STATE_SYNC_EVENTS.takenFromPeer, { ...state.position });
+    detectRestoredSource(state.position);
+    applyState(state);
+    logger.event(STATE_SYNC_EVENTS.copiedFromPeer, { ...state.position });
   };
 
-  const noteFailure = async (error: unknown): Promise<void> => {
-    failures += 1;
+  const handleFailure = async (error: unknown): Promise<void> => {
+    failureCount += 1;
     followedSinceMs = undefined;
-    if (failures === FAILURES_TO_TELL) {
+    if (failureCount === MIN_FAILURES_TO_LOG) {
       logger.event(STATE_SYNC_EVENTS.sourceLost, { reason: errorText(error) });
     }
-    void askPeer();
-    const longestMs = Math.min(LONGEST_REST_MS, FIRST_REST_MS * 2 ** Math.min(failures, 10));
-    // Instances that lost the source together must not come back to it in step.
-    const restMs = longestMs * (0.5 + random.next() / 2);
-    await sleepUntil(clock, clock.monotonicMs() + restMs, stopping.signal);
+    void applyPeerState();
+    const maxDelayMs = Math.min(MAX_BACKOFF_MS, BASE_BACKOFF_MS * 2 ** Math.min(failureCount, 10));
+    // Jitter: instances that lost the source at the same time must not return to it in step.
+    const delayMs = maxDelayMs * (0.5 + random.next() / 2);
+    await sleepUntil(clock, clock.monotonicMs() + delayMs, stopController.signal);
   };
 
   const run = async (): Promise<void> => {
-    while (!stopping.signal.aborted) {
+    while (!stopController.signal.aborted) {
       try {
-        if (position === undefined) await readAgain();
+        if (position === undefined) await readCompleteState();
         else await watchOnce(position);
       } catch (error) {
-        if (!stopping.signal.aborted) await noteFailure(error);
+        if (!stopController.signal.aborted) await handleFailure(error);
       }
     }
   };
 
-  /** An announcement as it would be made now; one from long ago would make a warm server look cold. */
-  const asOfNow = (item: ServerItem): ServerItem => {
+  /** Returns an announcement with its current cold time; with the original one, a warm server would look cold. */
+  const withCurrentColdTime = (item: ServerItem): ServerItem => {
     const coldUntilMs = servers.get(item.announcement.serverId)?.coldUntilMs ?? 0;
     const coldForMs = Math.max(0, coldUntilMs - clock.monotonicMs());
     return { ...item, announcement: { ...item.announcement, coldForMs } };
   };
 
   /**
-   * Without servers whose removal is only waited out here: an instance that began with one of them would never hear
-   * of its removal, which came before the revision that it goes on from.
+   * Returns the announcements without servers whose removal is pending. An instance that started with one of those
+   * would never see its removal, which came before the revision from which that instance continues.
    */
-  const listedAnnouncements = (): readonly ServerItem[] =>
-    [...announcements].flatMap(([serverId, item]) => (deferred.has(serverId) ? [] : [item]));
+  const currentAnnouncements = (): readonly ServerItem[] =>
+    [...announcements].flatMap(([serverId, item]) => (pendingRemovals.has(serverId) ? [] : [item]));
 
   return {
     start() {
-      task = run();
+      watchTask = run();
     },
     snapshot: () => ({
-      position: position ?? NOWHERE,
+      position: position ?? INITIAL_POSITION,
       items: [
-        ...tables.values(),
-        ...listedAnnouncements().map(asOfNow),
-        ...doubted.items(),
+        ...routesItems.values(),
+        ...currentAnnouncements().map(withCurrentColdTime),
+        ...quarantine.items(),
         ...servers.evacuated().map((failureDomain) => ({
           kind: 'evacuation' as const,
           failureDomain,
@@ -382,15 +381,15 @@
       unreadable: [],
     }),
     followedSinceMs() {
-      const isOverdue = clock.monotonicMs() - lastAnswerAtMs > WATCH_WAIT_MS + OVERDUE_AFTER_MS;
+      const isOverdue = clock.monotonicMs() - lastAnswerAtMs > WATCH_WAIT_MS + OVERDUE_GRACE_MS;
       return isOverdue ? undefined : followedSinceMs;
     },
     async [Symbol.asyncDispose]() {
-      stopping.abort();
-      deferred[Symbol.dispose]();
-      endingEvacuations[Symbol.dispose]();
-      doubted[Symbol.dispose]();
-      await task;
+      stopController.abort();
+      pendingRemovals[Symbol.dispose]();
+      pendingEvacuationEnds[Symbol.dispose]();
+      quarantine[Symbol.dispose]();
+      await watchTask;
     },
   };
 }
--- a/src/core/state-sync/doubted-entries.ts
+++ b/src/core/state-sync/doubted-entries.ts
@@ -2,71 +2,72 @@
 import type { Clock } from '../clock';
 import type { ServerItem } from './types';
 
-/** Entries of servers that had gone when the source came back with them. */
-export interface DoubtedEntries extends Disposable {
-  noteGone(serverId: string): void;
-  /** Holds an entry back if its server had gone before; says whether it does. */
-  hold(item: ServerItem): boolean;
-  /** Something newer is known of the server: what was held back means nothing any more. */
-  drop(serverId: string): void;
-  /** What is held back, for instances that judge by themselves. */
+/** Quarantine for restored entries of servers that had been removed before the source was restored. */
+export interface ServerQuarantine extends Disposable {
+  /** Records that a server was removed, and discards its held entry. */
+  recordRemoval(serverId: string): void;
+  /** Holds an entry back if its server was removed recently; returns whether it did. */
+  holdIfRemoved(item: ServerItem): boolean;
+  /** Discards a held entry and the recorded removal, since newer information about the server has arrived. */
+  clear(serverId: string): void;
+  /** Returns the held entries, for other instances, which decide on their own whether to use them. */
   items(): readonly ServerItem[];
 }
 
-/** Time after which nobody remembers that a server has gone, ms: an older copy is some seconds old. */
-const REMEMBERED_MS = 60_000;
-/** Time for which an entry is held back, ms: one of a server that lives no more lapses within three heartbeats. */
-const HELD_MS = 5_000;
+/** How long the removal of a server is remembered, ms: a backup is only some seconds old when it is restored. */
+const REMOVAL_RECORD_TTL_MS = 60_000;
+/** How long an entry is held back, ms: the entry of a stopped server expires within three heartbeats. */
+const QUARANTINE_MS = 5_000;
 
 /**
- * Holds back what an older copy says of servers that have gone since.
+ * Creates a quarantine for entries of an older backup that describe servers removed since.
  *
- * The copy lists them as they were, and what removed them is lost with the rest. Sent to, each costs requests a try and a
- * connection that cannot be made, or reaches whoever has their address now. One that lives announces itself, and is
- * believed at once; one that is still listed when dead ones have lapsed is believed as well, since a server whose
- * entry does not change is told of once only.
+ * The backup lists these servers as they were, and the record of their removal is lost with the other changes. Each
+ * request sent to such a server wastes an attempt on a connection that fails, or reaches another server that uses the
+ * address now. A running server announces itself again, and is accepted at once. A server that is still listed after
+ * the entries of stopped servers have expired is accepted too, since an unchanged entry is reported only once.
  */
-export function createDoubtedEntries(
+export function createServerQuarantine(
   clock: Clock,
-  believe: (item: ServerItem) => void,
-): DoubtedEntries {
-  const goneAtMs = new Map<string, number>();
+  accept: (item: ServerItem) => void,
+): ServerQuarantine {
+  const removedAtMs = new Map<string, number>();
   const held = new Map<string, ServerItem>();
   const timers = createKeyedTimers(clock);
 
-  const letGo = (serverId: string): void => {
+  const discardHeld = (serverId: string): void => {
     held.delete(serverId);
     timers.cancel(serverId);
   };
 
-  const forgetOld = (nowMs: number): void => {
-    for (const [serverId, atMs] of goneAtMs) {
-      // The oldest come first.
-      if (nowMs - atMs < REMEMBERED_MS) return;
-      goneAtMs.delete(serverId);
+  const pruneExpired = (nowMs: number): void => {
+    for (const [serverId, atMs] of removedAtMs) {
+      // The map is in order of removal time, so all further entries are newer.
+      if (nowMs - atMs < REMOVAL_RECORD_TTL_MS) return;
+      removedAtMs.delete(serverId);
     }
   };
 
   return {
-    noteGone(serverId) {
+    recordRemoval(serverId) {
       const nowMs = clock.monotonicMs();
-      forgetOld(nowMs);
-      goneAtMs.delete(serverId);
-      goneAtMs.set(serverId, nowMs);
-      letGo(serverId);
+      pruneExpired(nowMs);
+      removedAtMs.delete(serverId);
+      removedAtMs.set(serverId, nowMs);
+      discardHeld(serverId);
     },
-    hold(item) {
+    holdIfRemoved(item) {
       const { serverId } = item.announcement;
       const nowMs = clock.monotonicMs();
-      forgetOld(nowMs);
-      if (!goneAtMs.has(serverId)) return false;
+      pruneExpired(nowMs);
+      if (!removedAtMs.has(serverId)) return false;
       held.set(serverId, item);
-      timers.set(serverId, nowMs + HELD_MS, () => believe(item));
+      timers.set(serverId, nowMs + QUARANTINE_MS, () => accept(item));
       return true;
     },
-    drop(serverId) {
-      goneAtMs.delete(serverId);
-      letGo(serverId);
+    clear(serverId) {
+      removedAtMs.delete(serverId);
+      discardHeld(serverId);
     },
     items: () => [...held.values()],
     [Symbol.dispose]: () => timers[Symbol.dispose](),
--- a/src/core/state-sync/events.ts
+++ b/src/core/state-sync/events.ts
@@ -1,6 +1,6 @@
 import type { EventDefinition } from '../events';
 
-/** Events of the copy of what is published. */
+/** Log events of the local copy of published state. */
 export const STATE_SYNC_EVENTS = {
   routesInForce: {
     id: 4001,
@@ -13,7 +13,7 @@
     id: 4002,
     name: 'published-server-changed',
     level: 'info',
-    text: 'A backend server was announced, changed its state or has gone.',
+    text: 'A backend server was announced, changed its state or was removed.',
     action: 'Nothing.',
   },
   evacuationChanged: {
@@ -28,7 +28,8 @@
     name: 'state-source-lost',
     level: 'warn',
     text: 'The source of published state does not answer this instance.',
-    action: 'The instance goes on with what it knows; look at the source and the way to it.',
+    action:
+      'The instance continues with its last known state; check the source and the network path to it.',
   },
   sourceRegained: {
     id: 4005,
@@ -41,36 +42,36 @@
     id: 4006,
     name: 'published-item-unreadable',
     level: 'warn',
-    text: 'A published item could not be read and was passed over.',
-    action: 'Correct the item that is named; what stood before it stays in force.',
+    text: 'A published item could not be parsed and was ignored.',
+    action: 'Correct the named item; its previous content stays in force.',
   },
-  takenFromPeer: {
+  copiedFromPeer: {
     id: 4007,
     name: 'state-taken-from-peer',
     level: 'info',
-    text: 'Published state was taken over from another instance.',
+    text: 'Published state was copied from another instance.',
     action: 'Nothing.',
   },
   sourceRestored: {
     id: 4009,
     name: 'state-source-restored',
     level: 'warn',
-    text: 'The source of published state has come back from an older copy; everything was read again.',
+    text: 'The source of published state was restored from an older backup; the complete state was read again.',
     action:
-      'Publish again what was published since that copy; until then what instances hold stays in force.',
+      'Publish again all changes made since that backup; until then the state held by instances stays in force.',
   },
-  olderRoutesPassedOver: {
+  olderRoutesIgnored: {
     id: 4010,
     name: 'older-routes-passed-over',
     level: 'info',
     text: 'The source holds an older version of the routes than the one in force, which stays.',
-    action: 'Publish the newer version again if the source has come back from an older copy.',
+    action: 'Publish the newer version again if the source was restored from an older backup.',
   },
   peerUnavailable: {
     id: 4008,
     name: 'peer-state-unavailable',
     level: 'info',
-    text: 'Another instance could not hand out what it knows of published state.',
-    action: 'Nothing; another instance is asked next.',
+    text: 'Another instance could not provide its copy of published state.',
+    action: 'Nothing; the next instance is tried.',
   },
 } as const satisfies Record<string, EventDefinition>;
--- a/src/core/state-sync/index.ts
+++ b/src/core/state-sync/index.ts
@@ -1,10 +1,10 @@
-/** A copy of what operators and backend servers publish in a source that can only be read. */
+/** A local copy of the state that operators and backend servers publish in a read-only source. */
 export { createStateSync } from './create-state-sync';
 export type { StateSync, StateSyncOptions } from './create-state-sync';
 export { STATE_SYNC_EVENTS } from './events';
 export { isLater } from './position';
 export type { Position } from './position';
-export { readChanges, writeChanges } from './changes-message';
+export { parseChanges, serializeChanges } from './changes-message';
 export { readSnapshot, writeSnapshot } from './snapshot-message';
 export type {
   PublishedChange,
--- a/src/core/state-sync/later-routes.test.ts
+++ b/src/core/state-sync/later-routes.test.ts
@@ -1,30 +1,30 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { createRouteTableStore } from '../host-routes';
-import { createLaterRoutes } from './later-routes';
+import { createRoutesCatchUp } from './later-routes';
 
 const LIMITS = { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
-const LOOK_EVERY_MS = 500;
+const CHECK_INTERVAL_MS = 500;
 
-/** Looks so often, with a version in force here and a later one elsewhere each time, and counts the calls. */
-async function callsWith(
-  versions: readonly { readonly here: number; readonly elsewhere: number }[],
+/** Checks once for each pair of versions in force here and at a peer instance, and returns how often it is called. */
+async function countPeerCalls(
+  versions: readonly { readonly here: number; readonly peer: number }[],
 ) {
   let nowMs = 0;
   let latest = 0;
   let calls = 0;
   const routes = createRouteTableStore();
-  const later = createLaterRoutes({
+  const catchUp = createRoutesCatchUp({
     clock: { monotonicMs: () => nowMs },
     routes,
-    latestElsewhere: () => latest,
-    async askPeer() {
+    latestPeerVersion: () => latest,
+    async readPeerState() {
       calls += 1;
       return undefined;
     },
-    take() {},
+    applyRoutes() {},
   });
-  for (const { here, elsewhere } of versions) {
+  for (const { here, peer } of versions) {
     routes.offer({
       version: here,
       routes: [],
@@ -32,45 +32,45 @@
       limits: LIMITS,
       accounts: undefined,
     });
-    latest = elsewhere;
-    later.look();
+    latest = peer;
+    catchUp.check();
     await Promise.resolve();
     await Promise.resolve();
-    nowMs += LOOK_EVERY_MS;
+    nowMs += CHECK_INTERVAL_MS;
   }
   return calls;
 }
 
-const times = (count: number, at: (index: number) => { here: number; elsewhere: number }) =>
+const repeat = (count: number, at: (index: number) => { here: number; peer: number }) =>
   Array.from({ length: count }, (_, index) => at(index));
 
-/** Guards against an instance that stays behind its neighbours, and against one that asks all the time. */
-describe('another instance', () => {
+/** Guards against an instance that stays behind the others, and against one that calls them all the time. */
+describe('a peer instance', () => {
   const cases = [
     {
-      name: 'is not asked where it has nothing later',
-      versions: times(10, () => ({ here: 5, elsewhere: 5 })),
+      name: 'is not called if it has no later version',
+      versions: repeat(10, () => ({ here: 5, peer: 5 })),
       calls: 0,
     },
     {
-      name: 'is not asked for what comes within a second',
-      versions: times(3, () => ({ here: 4, elsewhere: 5 })),
+      name: 'is not called for a version that arrives within a second',
+      versions: repeat(3, () => ({ here: 4, peer: 5 })),
       calls: 0,
     },
     {
-      name: 'is asked for what does not come',
-      versions: times(5, () => ({ here: 4, elsewhere: 5 })),
+      name: 'is called for a version that does not arrive',
+      versions: repeat(5, () => ({ here: 4, peer: 5 })),
       calls: 2,
     },
     {
-      name: 'is not asked in a series of versions that come one after the other',
-      versions: times(20, (index) => ({ here: index + 1, elsewhere: index + 2 })),
+      name: 'is not called during a series of versions that arrive one after the other',
+      versions: repeat(20, (index) => ({ here: index + 1, peer: index + 2 })),
       calls: 0,
     },
   ];
   for (const { name, versions, calls } of cases) {
     it(name, async () => {
-      assert.equal(await callsWith(versions), calls);
+      assert.equal(await countPeerCalls(versions), calls);
     });
   }
 });
--- a/src/core/state-sync/later-routes.ts
+++ b/src/core/state-sync/later-routes.ts
@@ -2,56 +2,58 @@
 import type { RouteTableStore } from '../host-routes';
 import type { PublishedState, RoutesItem } from './types';
 
-/** What is needed to catch up with other instances. */
-export interface LaterRoutesOptions {
+/** Options of the catch-up with routes of other instances. */
+export interface RoutesCatchUpOptions {
   readonly clock: Pick<Clock, 'monotonicMs'>;
   readonly routes: Pick<RouteTableStore, 'current'>;
-  /** Highest version of the routes that another instance has in force, as far as is known; 0 for none. */
-  readonly latestElsewhere: () => number;
-  /** What another instance has; undefined when it does not answer. Never rejects. */
-  readonly askPeer: () => Promise<PublishedState | undefined>;
-  readonly take: (item: RoutesItem) => void;
+  /** Returns the highest version of the routes known to be in force at another instance; 0 if none is known. */
+  readonly latestPeerVersion: () => number;
+  /** Reads the state of another instance; undefined when it does not answer. Never rejects. */
+  readonly readPeerState: () => Promise<PublishedState | undefined>;
+  readonly applyRoutes: (item: RoutesItem) => void;
 }
 
-/** Catches up with other instances. */
-export interface LaterRoutes {
-  /** Asks another instance, if one has had a later version for long enough. */
-  look(): void;
+/** Adopts later routes of other instances. */
+export interface RoutesCatchUp {
+  /** Requests the state of another instance if one has had a later version for long enough. */
+  check(): void;
 }
 
-/** Time for which another instance has to have a later version, ms: news takes a second or so. */
-const BEHIND_FOR_MS = 1_500;
+/** How long another instance may have a later version before it is called, ms: updates usually take about a second. */
+const MAX_LAG_MS = 1_500;
 
 /**
- * Takes over a version that other instances have in force and the source does not hold.
+ * Adopts a version of the routes that other instances have in force and the source no longer holds.
  *
- * It was lost when the source came back from an older copy. Whoever has started since would serve by older routes than
- * its neighbours until the version is published again; one notices instances that answer the same request differently.
+ * Such a version is lost when the source is restored from an older backup. An instance started after that would use
+ * older routes than the others until the version is published again, and the same request would get different
+ * answers at different instances.
  */
-export function createLaterRoutes(options: LaterRoutesOptions): LaterRoutes {
+export function createRoutesCatchUp(options: RoutesCatchUpOptions): RoutesCatchUp {
   const { clock, routes } = options;
-  /** Version that was in force here, and since when another instance has had a later one. */
-  let behind: { readonly inForce: number; readonly sinceMs: number } | undefined;
-  let isAsking = false;
+  /** The version in force here, and the time since which another instance has had a later one. */
+  let lag: { readonly inForce: number; readonly sinceMs: number } | undefined;
+  let isRequestPending = false;
 
-  const ask = async (): Promise<void> => {
-    isAsking = true;
-    const state = await options.askPeer();
-    isAsking = false;
-    for (const item of state?.items ?? []) if (item.kind === 'routes') options.take(item);
+  const catchUp = async (): Promise<void> => {
+    isRequestPending = true;
+    const state = await options.readPeerState();
+    isRequestPending = false;
+    for (const item of state?.items ?? []) if (item.kind === 'routes') options.applyRoutes(item);
   };
 
   return {
-    look() {
+    check() {
       const nowMs = clock.monotonicMs();
       const inForce = routes.current()?.table.version ?? 0;
-      if (options.latestElsewhere() <= inForce) {
-        behind = undefined;
+      if (options.latestPeerVersion() <= inForce) {
+        lag = undefined;
         return;
       }
-      // Whoever gets on is only a step behind, as in a series of versions.
-      if (behind?.inForce !== inForce) behind = { inForce, sinceMs: nowMs };
-      if (nowMs - behind.sinceMs >= BEHIND_FOR_MS && !isAsking) void ask();
+      // If the version here has advanced, this instance is only one step behind, as during a series of versions, and
+      // the time is measured anew.
+      if (lag?.inForce !== inForce) lag = { inForce, sinceMs: nowMs };
+      if (nowMs - lag.sinceMs >= MAX_LAG_MS && !isRequestPending) void catchUp();
     },
   };
 }
--- a/src/core/state-sync/position.ts
+++ b/src/core/state-sync/position.ts
@@ -1,22 +1,23 @@
 import { z } from 'zod';
 
 /**
- * A place in the history of what is published.
+ * A point in the history of published state.
  *
- * The source may come back from an older copy. Its revisions go back then and are given out again for other changes, so a
- * revision means something only within one era: compared across two, news looks old and is passed over for good.
+ * The source may be restored from an older backup. Its revision counter then goes back, and the same revisions are
+ * assigned again to other changes. Revisions are therefore only comparable within one era: compared across eras, new
+ * changes would look old and would be skipped for good.
  */
 export interface Position {
-  /** Rises by one each time the source comes back from an older copy. */
+  /** Increases by one each time the source is restored from an older backup. */
   readonly era: number;
   readonly revision: number;
 }
 
-/** A position as instances hand it to one another. */
+/** Schema of a position in messages between instances. */
 export const positionSchema = z.object({ era: z.number(), revision: z.number() });
 
-/** Whether a position comes after another one. */
-export function isLater(position: Position, than: Position): boolean {
-  if (position.era !== than.era) return position.era > than.era;
-  return position.revision > than.revision;
+/** Returns whether a position comes after another one. */
+export function isLater(position: Position, other: Position): boolean {
+  if (position.era !== other.era) return position.era > other.era;
+  return position.revision > other.revision;
 }
--- a/src/core/state-sync/restored-source.test.ts
+++ b/src/core/state-sync/restored-source.test.ts
@@ -14,11 +14,11 @@
   StateSource,
 } from '.';
 
-/** Positions before and after the return: the revision is lower after it. */
-const BEFORE: Position = { era: 1, revision: 50 };
-const AFTER: Position = { era: 2, revision: 20 };
-/** A little more than the time in which servers are back. */
-const SURE_MS = 2_600;
+/** Positions before and after the source is restored: the revision is lower afterwards. */
+const BEFORE_RESTORE: Position = { era: 1, revision: 50 };
+const AFTER_RESTORE: Position = { era: 2, revision: 20 };
+/** Slightly more than the grace period in which servers reappear. */
+const GRACE_PASSED_MS = 2_600;
 
 const EVACUATION: PublishedItem = { kind: 'evacuation', failureDomain: 'south-a' };
 
@@ -30,20 +30,20 @@
 
 const put = (item: PublishedItem): PublishedChange => ({ kind: 'put', revision: 21, item });
 
-interface Story {
-  /** What is published before, and what of it has changed when the source goes away. */
+interface Scenario {
+  /** The published items at first, and the changes to them before the source goes away. */
   readonly before: readonly PublishedItem[];
   readonly changed?: readonly PublishedChange[];
-  /** What the copy holds. */
-  readonly copy: readonly PublishedItem[];
-  /** What is written after the return, each with the time after it, ms. */
-  readonly written?: readonly { readonly afterMs: number; readonly change: PublishedChange }[];
-  readonly latestElsewhere?: number;
-  readonly elsewhere?: PublishedState;
+  /** The items in the restored backup. */
+  readonly restored: readonly PublishedItem[];
+  /** Changes written after the restore, each with its time after it, ms. */
+  readonly writes?: readonly { readonly afterMs: number; readonly change: PublishedChange }[];
+  readonly latestPeerVersion?: number;
+  readonly peerState?: PublishedState;
 }
 
-/** A copy of what is published that lives through a return of its source. */
-function play(story: Story) {
+/** Starts a copy of published state whose source is restored from an older backup. */
+function startScenario(scenario: Scenario) {
   const clock = createFakeClock();
   const logger = createMemoryLogger();
   const table = createRouteTableStore();
@@ -51,32 +51,32 @@
     regionOf: (domain) => domain.split('-')[0],
     coldStartMs: () => 3_000,
   });
-  const reads = [state(BEFORE, story.before), state(AFTER, story.copy)];
+  const reads = [state(BEFORE_RESTORE, scenario.before), state(AFTER_RESTORE, scenario.restored)];
   const watches: PublishedChanges[] = [
-    { kind: 'changes', position: BEFORE, changes: story.changed ?? [] },
+    { kind: 'changes', position: BEFORE_RESTORE, changes: scenario.changed ?? [] },
     { kind: 'historyGone' },
   ];
-  const written = [...(story.written ?? [])];
-  let returnedAtMs = Infinity;
+  const remainingWrites = [...(scenario.writes ?? [])];
+  let restoredAtMs = Infinity;
   const source: StateSource = {
     async readAll() {
       const next = reads.shift();
-      if (next === undefined) throw new Error('read once too often');
-      if (next.position === AFTER) returnedAtMs = clock.monotonicMs();
+      if (next === undefined) throw new Error('unexpected extra read');
+      if (next.position === AFTER_RESTORE) restoredAtMs = clock.monotonicMs();
       return next;
     },
     async watch(position, waitMs) {
       const next = watches.shift();
       if (next !== undefined) return next;
       const atMs = clock.monotonicMs() + waitMs;
-      const [first] = written;
-      const newsAtMs = first === undefined ? Infinity : returnedAtMs + first.afterMs;
+      const [first] = remainingWrites;
+      const changeAtMs = first === undefined ? Infinity : restoredAtMs + first.afterMs;
       await new Promise<void>((resolve) => {
-        clock.schedule(Math.min(atMs, newsAtMs), resolve);
+        clock.schedule(Math.min(atMs, changeAtMs), resolve);
       });
-      const hasNews = newsAtMs <= atMs;
-      if (hasNews) written.shift();
-      const changes = hasNews && first !== undefined ? [first.change] : [];
+      const hasChange = changeAtMs <= atMs;
+      if (hasChange) remainingWrites.shift();
+      const changes = hasChange && first !== undefined ? [first.change] : [];
       return { kind: 'changes', position, changes };
     },
   };
@@ -87,8 +87,8 @@
     servers,
     routes: table,
     random: { next: () => 0 },
-    askPeer: async () => story.elsewhere,
-    latestElsewhere: () => story.latestElsewhere ?? 0,
+    askPeer: async () => scenario.peerState,
+    latestElsewhere: () => scenario.latestPeerVersion ?? 0,
   });
   sync.start();
   return {
@@ -102,14 +102,14 @@
   };
 }
 
-/** Guards against routes that go back, or stay behind for good, when the source comes back from an older copy. */
-describe('routes, when the source comes back from an older copy', () => {
-  it('stay as they are in force, and the older version is logged', async () => {
-    const played = play({ before: [routesItem(5)], copy: [routesItem(4)] });
-    await played.run(100);
-    assert.equal(played.version(), 5);
-    assert.equal(played.logger.of(STATE_SYNC_EVENTS.olderRoutesPassedOver).length, 1);
-    const [restored] = played.logger.of(STATE_SYNC_EVENTS.sourceRestored);
+/** Guards against routes that go back, or stay outdated for good, when the source is restored from an older backup. */
+describe('routes, when the source is restored from an older backup', () => {
+  it('stay in force, and the older version is logged', async () => {
+    const harness = startScenario({ before: [routesItem(5)], restored: [routesItem(4)] });
+    await harness.run(100);
+    assert.equal(harness.version(), 5);
+    assert.equal(harness.logger.of(STATE_SYNC_EVENTS.olderRoutesIgnored).length, 1);
+    const [restored] = harness.logger.of(STATE_SYNC_EVENTS.sourceRestored);
     assert.deepEqual(
       [restored?.fields.eraBefore, restored?.fields.era, restored?.fields.revision],
       [1, 2, 20],
@@ -124,115 +124,127 @@
       version: 5,
       timeoutMs: 8,
     },
-    { name: 'the same version as it was', item: routesItem(5), version: 5, timeoutMs: 1_000 },
+    {
+      name: 'the same version with the same contents',
+      item: routesItem(5),
+      version: 5,
+      timeoutMs: 1_000,
+    },
   ];
   for (const { name, item, version, timeoutMs } of writtenAgain) {
-    it(`are those of ${name} once it is written`, async () => {
-      const written = [{ afterMs: 300, change: put(item) }];
-      const played = play({ before: [routesItem(5)], copy: [routesItem(4)], written });
-      await played.run(500);
-      assert.equal(played.version(), version);
-      assert.equal(played.headerTimeoutMs(), timeoutMs);
+    it(`change to ${name} once it is written`, async () => {
+      const writes = [{ afterMs: 300, change: put(item) }];
+      const harness = startScenario({
+        before: [routesItem(5)],
+        restored: [routesItem(4)],
+        writes,
+      });
+      await harness.run(500);
+      assert.equal(harness.version(), version);
+      assert.equal(harness.headerTimeoutMs(), timeoutMs);
     });
   }
 
-  it('are taken from another instance where one has started with the copy', async () => {
-    const elsewhere = state(BEFORE, [routesItem(5)]);
-    const played = play({
+  it('are copied from another instance if this one started with the backup', async () => {
+    const peerState = state(BEFORE_RESTORE, [routesItem(5)]);
+    const harness = startScenario({
       before: [routesItem(4)],
-      copy: [routesItem(4)],
-      latestElsewhere: 5,
-      elsewhere,
+      restored: [routesItem(4)],
+      latestPeerVersion: 5,
+      peerState,
     });
-    await played.run(1_000);
-    assert.equal(played.version(), 4);
-    await played.run(3_000);
-    assert.equal(played.version(), 5);
+    await harness.run(1_000);
+    assert.equal(harness.version(), 4);
+    await harness.run(3_000);
+    assert.equal(harness.version(), 5);
   });
 });
 
-/** Guards against refusals for servers that live and are not in the copy, and against tries at dead ones that are. */
-describe('servers, when the source comes back from an older copy', () => {
+/** Guards against refusals because running servers are missing in the backup, and against requests to stopped ones. */
+describe('servers, when the source is restored from an older backup', () => {
   const gone: PublishedChange = { kind: 'serverGone', revision: 50, serverId: 's-1' };
   const cases: readonly {
     readonly name: string;
-    readonly story: Story;
+    readonly scenario: Scenario;
     readonly atOnce: readonly string[];
     readonly later: readonly string[];
   }[] = [
     {
-      name: 'that the copy lacks are used until they had time to come back',
-      story: { before: [serverItem('s-1'), serverItem('s-2')], copy: [serverItem('s-2')] },
+      name: 'missing in the backup are used until the grace period ends',
+      scenario: { before: [serverItem('s-1'), serverItem('s-2')], restored: [serverItem('s-2')] },
       atOnce: ['s-1', 's-2'],
       later: ['s-2'],
     },
     {
-      name: 'that the copy lacks and that come back are used throughout',
-      story: {
+      name: 'missing in the backup that reappear are used throughout',
+      scenario: {
         before: [serverItem('s-1')],
-        copy: [],
-        written: [{ afterMs: 1_500, change: put(serverItem('s-1')) }],
+        restored: [],
+        writes: [{ afterMs: 1_500, change: put(serverItem('s-1')) }],
       },
       atOnce: ['s-1'],
       later: ['s-1'],
     },
     {
-      name: 'that have gone are not used again because the copy lists them',
-      story: {
+      name: 'that were removed are not used again because the backup lists them',
+      scenario: {
         before: [serverItem('s-1'), serverItem('s-2')],
         changed: [gone],
-        copy: [serverItem('s-1'), serverItem('s-2')],
-        written: [{ afterMs: 3_000, change: gone }],
+        restored: [serverItem('s-1'), serverItem('s-2')],
+        writes: [{ afterMs: 3_000, change: gone }],
       },
       atOnce: ['s-2'],
       later: ['s-2'],
     },
     {
-      name: 'that had gone are used as soon as they announce themselves',
-      story: {
+      name: 'that were removed are used as soon as they announce themselves',
+      scenario: {
         before: [serverItem('s-1')],
         changed: [gone],
-        copy: [serverItem('s-1')],
-        written: [{ afterMs: 50, change: put(serverItem('s-1')) }],
+        restored: [serverItem('s-1')],
+        writes: [{ afterMs: 50, change: put(serverItem('s-1')) }],
       },
       atOnce: ['s-1'],
       later: ['s-1'],
     },
     {
-      name: 'that had gone are used when they are still listed after dead ones have lapsed',
-      story: { before: [serverItem('s-1')], changed: [gone], copy: [serverItem('s-1')] },
+      name: 'that were removed are used if still listed after entries of stopped servers expired',
+      scenario: { before: [serverItem('s-1')], changed: [gone], restored: [serverItem('s-1')] },
       atOnce: [],
       later: ['s-1'],
     },
     {
-      name: 'that were draining get no new work because the copy calls them ready',
-      story: { before: [serverItem('s-1', { isDraining: true })], copy: [serverItem('s-1')] },
+      name: 'that were draining get no new work although the backup lists them as ready',
+      scenario: {
+        before: [serverItem('s-1', { isDraining: true })],
+        restored: [serverItem('s-1')],
+      },
       atOnce: [],
       later: [],
     },
     {
-      name: 'of an earlier start do not take the place of the one that runs',
-      story: {
+      name: 'of an earlier start do not replace the running one',
+      scenario: {
         before: [serverItem('s-1', { startedAtUnixMs: 2_000, address: '10.0.0.2:80' })],
-        copy: [serverItem('s-1', { startedAtUnixMs: 1_000 })],
+        restored: [serverItem('s-1', { startedAtUnixMs: 1_000 })],
       },
       atOnce: ['s-1'],
       later: ['s-1'],
     },
   ];
-  for (const { name, story, atOnce, later } of cases) {
+  for (const { name, scenario, atOnce, later } of cases) {
     it(name, async () => {
-      const played = play(story);
-      await played.run(200);
-      assert.deepEqual(played.usable().sort(), atOnce);
-      await played.run(2 * SURE_MS);
-      assert.deepEqual(played.usable().sort(), later);
+      const harness = startScenario(scenario);
+      await harness.run(200);
+      assert.deepEqual(harness.usable().sort(), atOnce);
+      await harness.run(2 * GRACE_PASSED_MS);
+      assert.deepEqual(harness.usable().sort(), later);
     });
   }
 });
 
-/** Guards against requests in a failure domain where operators are at work, and against one that stays closed. */
-describe('an evacuation, when the source comes back from an older copy', () => {
+/** Guards against requests to a failure domain that operators work on, and against an evacuation that never ends. */
+describe('an evacuation, when the source is restored from an older backup', () => {
   const ended: PublishedChange = {
     kind: 'evacuationEnded',
     revision: 50,
@@ -240,46 +252,46 @@
   };
   const cases: readonly {
     readonly name: string;
-    readonly story: Story;
+    readonly scenario: Scenario;
     readonly isAtOnce: boolean;
     readonly isLater: boolean;
   }[] = [
     {
-      name: 'that the copy lacks holds until there was time to publish it again',
-      story: { before: [EVACUATION], copy: [] },
+      name: 'missing in the backup holds until the grace period for publishing it again ends',
+      scenario: { before: [EVACUATION], restored: [] },
       isAtOnce: true,
       isLater: false,
     },
     {
-      name: 'that is published again holds on',
-      story: {
+      name: 'that is published again continues to hold',
+      scenario: {
         before: [EVACUATION],
-        copy: [],
-        written: [{ afterMs: 1_000, change: put(EVACUATION) }],
+        restored: [],
+        writes: [{ afterMs: 1_000, change: put(EVACUATION) }],
       },
       isAtOnce: true,
       isLater: true,
     },
     {
-      name: 'that is ended after the return ends at once',
-      story: { before: [EVACUATION], copy: [], written: [{ afterMs: 50, change: ended }] },
+      name: 'that is ended after the restore ends at once',
+      scenario: { before: [EVACUATION], restored: [], writes: [{ afterMs: 50, change: ended }] },
       isAtOnce: false,
       isLater: false,
     },
     {
-      name: 'that had ended holds while the copy does',
-      story: { before: [EVACUATION], changed: [ended], copy: [EVACUATION] },
+      name: 'that had ended holds as long as the restored source lists it',
+      scenario: { before: [EVACUATION], changed: [ended], restored: [EVACUATION] },
       isAtOnce: true,
       isLater: true,
     },
   ];
-  for (const { name, story, isAtOnce, isLater } of cases) {
+  for (const { name, scenario, isAtOnce, isLater } of cases) {
     it(name, async () => {
-      const played = play(story);
-      await played.run(200);
-      assert.equal(played.evacuated().length > 0, isAtOnce);
-      await played.run(2 * SURE_MS);
-      assert.equal(played.evacuated().length > 0, isLater);
+      const harness = startScenario(scenario);
+      await harness.run(200);
+      assert.equal(harness.evacuated().length > 0, isAtOnce);
+      await harness.run(2 * GRACE_PASSED_MS);
+      assert.equal(harness.evacuated().length > 0, isLater);
     });
   }
 });
--- a/src/core/state-sync/snapshot-message.ts
+++ b/src/core/state-sync/snapshot-message.ts
@@ -4,7 +4,7 @@
 import { positionSchema } from './position';
 import type { PublishedItem, PublishedState } from './types';
 
-/** All that one instance holds of published state, as it hands it to another. */
+/** The complete copy of published state that one instance sends to another. */
 
 const targetSchema = z.object({ service: z.string(), weight: z.number() });
 
@@ -58,7 +58,7 @@
     headerTimeoutMs: z.number(),
     idleTimeoutMs: z.number(),
   }),
-  /** Null where requests need no key. Left out, a table that needs keys could be taken for one that needs none. */
+  /** Null where requests need no key. If omitted, a table that requires keys could be taken for one that does not. */
   accounts: z.array(accountSchema).nullable(),
 });
 
@@ -74,7 +74,7 @@
   goneInMs: z.number().optional(),
 });
 
-/** One published item, as instances hand it to one another. */
+/** Schema of a published item in messages between instances. */
 export const itemSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('routes'), table: tableSchema }),
   z.object({ kind: z.literal('server'), announcement: announcementSchema }),
@@ -90,7 +90,7 @@
   return { ...account, keyDigests: [...keyDigests], homeRegions: [...homeRegions] };
 }
 
-/** An item as it is handed on. */
+/** Converts an item to its form in messages between instances. */
 export function toMessageItem(item: PublishedItem): SnapshotItem {
   if (item.kind !== 'routes') return item;
   const { table } = item;
@@ -110,7 +110,7 @@
   };
 }
 
-/** An item as it was handed on. */
+/** Converts an item back from its form in messages between instances. */
 export function fromMessageItem(item: z.output<typeof itemSchema>): PublishedItem {
   switch (item.kind) {
     case 'routes': {
@@ -142,12 +142,12 @@
   }
 }
 
-/** A snapshot as text. */
+/** Serializes a snapshot as JSON. */
 export function writeSnapshot(state: PublishedState): string {
   return JSON.stringify({ position: state.position, items: state.items.map(toMessageItem) });
 }
 
-/** A snapshot from text; throws where it is none. */
+/** Parses a snapshot from JSON; throws if the text is not a valid snapshot. */
 export function readSnapshot(text: string): PublishedState {
   const { position, items } = snapshotSchema.parse(JSON.parse(text));
   return { position, items: items.map(fromMessageItem), unreadable: [] };
--- a/src/core/state-sync/state-sync.test.ts
+++ b/src/core/state-sync/state-sync.test.ts
@@ -17,25 +17,25 @@
 
 type Answer<Value> = Value | 'fails';
 
-/** A source that gives the answers of a list, and then waits for ever. */
+/** Creates a source that returns the listed answers in order, and then never answers again. */
 function createSource(
   reads: readonly Answer<PublishedState>[],
   watches: readonly Answer<PublishedChanges>[],
 ) {
-  const readsLeft = [...reads];
-  const watchesLeft = [...watches];
+  const remainingReads = [...reads];
+  const remainingWatches = [...watches];
   const waitsMs: number[] = [];
-  const next = async <Value>(left: Answer<Value>[]): Promise<Value> => {
-    const answer = left.shift();
+  const next = async <Value>(remaining: Answer<Value>[]): Promise<Value> => {
+    const answer = remaining.shift();
     if (answer === 'fails') throw new Error('no answer');
     if (answer !== undefined) return answer;
     return new Promise(() => {});
   };
   const source: StateSource = {
-    readAll: () => next(readsLeft),
+    readAll: () => next(remainingReads),
     watch(_revision, waitMs) {
       waitsMs.push(waitMs);
-      return next(watchesLeft);
+      return next(remainingWatches);
     },
   };
   return { source, waitsMs };
@@ -57,7 +57,7 @@
   };
 }
 
-/** A source that was away while the entries of two servers lapsed, one of which is back. */
+/** Creates a source that was unavailable while the entries of two servers expired, one of which reappears. */
 function createSourceAfterOutage() {
   return createSource(
     [state(5, [serverItem('back'), serverItem('gone')])],
@@ -99,8 +99,8 @@
 const ids = (known: readonly { readonly serverId: string }[]) =>
   known.map(({ serverId }) => serverId);
 
-describe('the copy of what is published', () => {
-  it('holds what was read, and what changed since', async () => {
+describe('the copy of published state', () => {
+  it('holds the items read and the changes since', async () => {
     const { source } = createSource(
       [state(5, [routesItem(3), serverItem('s-1'), serverItem('s-2')])],
       [changes(6, ['s-1'])],
@@ -112,8 +112,8 @@
     assert.deepEqual(ids(servers.all()), ['s-2']);
   });
 
-  // Someone else overwrites the entry of a server with bytes that mean nothing, and the server sets it right. What came
-  // last decides, whatever came before it in the same answer.
+  // The entry of a server is overwritten with invalid bytes, and the server later corrects it. The last change decides,
+  // whatever came before it in the same answer.
   const damaged: PublishedChange = {
     kind: 'unreadable',
     revision: 7,
@@ -122,10 +122,14 @@
   const announced: PublishedChange = { kind: 'put', revision: 7, item: serverItem('s-1') };
   const orders = [
     { name: 'a damaged entry after a good one', changes: [announced, damaged], left: [] },
-    { name: 'a good entry after a damaged one', changes: [damaged, announced], left: ['s-1'] },
+    {
+      name: 'a good entry after a damaged one',
+      changes: [damaged, announced],
+      left: ['s-1'],
+    },
   ];
   for (const { name, changes: inOrder, left } of orders) {
-    it(`goes by ${name}`, async () => {
+    it(`applies ${name}`, async () => {
       const { source } = createSource(
         [state(5, [serverItem('s-1')])],
         [{ kind: 'changes', position: at(7), changes: inOrder }],
@@ -137,9 +141,9 @@
     });
   }
 
-  // After an outage a server's own entry is missing for a moment and it stays in use. An entry that is there and means
-  // nothing is no such gap.
-  it('ends the use of a server whose entry is damaged in a read after an outage', async () => {
+  // After an outage the entry of a running server may be missing for a moment, and the server stays in use. An entry
+  // that exists but cannot be parsed is not such a gap.
+  it('removes a server whose entry is unreadable in a read after an outage', async () => {
     const { source } = createSource(
       [
         state(5, [serverItem('s-1'), serverItem('s-2')]),
@@ -157,9 +161,9 @@
     assert.deepEqual(ids(servers.all()), ['s-2']);
   });
 
-  // The store is away for some seconds and all entries lapse meanwhile. The servers live; without them in use
-  // every request is refused until they have announced themselves again.
-  it('keeps servers whose entries lapsed in an outage until they had time to come back', async () => {
+  // The source is unavailable for some seconds and all entries expire. The servers still run; if they were removed,
+  // every request would be refused until they have announced themselves again.
+  it('keeps servers whose entries expired in an outage until the grace period ends', async () => {
     const { source } = createSourceAfterOutage();
     const { clock, servers, sync } = setUp(source);
     sync.start();
@@ -169,22 +173,22 @@
     assert.deepEqual(ids(servers.all()), ['back']);
   });
 
-  // An instance starts right after an outage and begins with what another one holds, of which some is waited for. It goes
-  // on from a revision after the removal and never hears of it, and sends to a server that is gone for as long as it runs.
-  it('hands on no server whose removal is only waited out', async () => {
+  // An instance starts right after an outage with the state of another one, which still holds servers whose removal is
+  // deferred. It continues from a revision after the removal, never sees it, and would send to that server for good.
+  it('sends peers no server whose removal is deferred', async () => {
     const { source } = createSourceAfterOutage();
     const { clock, servers, sync } = setUp(source);
     sync.start();
     await clock.advanceByAsync(1_000);
     assert.deepEqual(ids(servers.all()).sort(), ['back', 'gone']);
-    const handedOn = sync
+    const sentServerIds = sync
       .snapshot()
       .items.flatMap((item) => (item.kind === 'server' ? [item.announcement.serverId] : []));
-    assert.deepEqual(handedOn, ['back']);
+    assert.deepEqual(sentServerIds, ['back']);
   });
 
-  // The same, where the history is gone too, so that everything is read again.
-  it('goes on watching while it waits for servers to come back', async () => {
+  // As above, with the history gone as well, so that the complete state is read again.
+  it('continues to watch while it waits for servers to reappear', async () => {
     const { source } = createSource(
       [state(5, [serverItem('gone')]), state(9, [])],
       [
@@ -206,9 +210,9 @@
     assert.deepEqual(ids(servers.all()), []);
   });
 
-  // The store turns one instance away and serves the others. An evacuation that it misses would let it send to
-  // servers that operators are working on.
-  it('asks another instance as soon as the source fails', async () => {
+  // The source refuses one instance and serves the others. If that instance missed an evacuation, it would send
+  // requests to servers that operators are working on.
+  it('calls another instance as soon as the source fails', async () => {
     const { source, waitsMs } = createSource([state(5, [serverItem('s-1')])], ['fails', 'fails']);
     const evacuation: PublishedItem = { kind: 'evacuation', failureDomain: 'north-a' };
     const { clock, servers, sync, logger } = setUp(source, async () =>
@@ -222,8 +226,8 @@
     assert.ok((waitsMs[1] ?? Infinity) < (waitsMs[0] ?? 0));
   });
 
-  // The store comes back, and the instance that was asked meanwhile has lost power: it never answers. Waiting for
-  // it would keep a change from coming into force here long after all others have it.
+  // The source returns, and the peer that was called meanwhile has lost power and never answers. Waiting for it would
+  // delay a change here long after all other instances have it in force.
   it('does not wait for an instance that does not answer', async () => {
     const put: PublishedChanges = {
       kind: 'changes',
@@ -237,7 +241,7 @@
     assert.equal(table.current()?.table.version, 8);
   });
 
-  it('takes nothing from an instance that knows less', async () => {
+  it('copies nothing from an instance whose state is not later', async () => {
     const { source } = createSource([state(5, [serverItem('s-1')])], ['fails']);
     const { clock, servers, sync } = setUp(source, async () => state(5, [serverItem('s-0')]));
     sync.start();
@@ -245,7 +249,7 @@
     assert.deepEqual(ids(servers.all()), ['s-1']);
   });
 
-  it('hands out how cold servers are now, not when they said so', async () => {
+  it('reports the current cold time of servers, not the announced one', async () => {
     const { source } = createSource([state(5, [serverItem('s-1', { coldForMs: 3_000 })])], []);
     const { clock, sync } = setUp(source);
     sync.start();
@@ -254,7 +258,7 @@
     assert.equal(item?.kind === 'server' ? item.announcement.coldForMs : undefined, 1_000);
   });
 
-  it('survives the way to another instance as text', () => {
+  it('is unchanged after being serialized and parsed', () => {
     const service = {
       name: 'app',
       maxConnections: 3,
@@ -297,14 +301,14 @@
 describe('the registry of servers', () => {
   const registry = () =>
     createServerRegistry({ regionOf: () => 'north', coldStartMs: () => 3_000 });
-  const announcement = (serverId: string, more: Partial<ServerAnnouncement> = {}) => {
-    const item = serverItem(serverId, more);
+  const announcement = (serverId: string, overrides: Partial<ServerAnnouncement> = {}) => {
+    const item = serverItem(serverId, overrides);
     if (item.kind !== 'server') throw new Error('not a server');
     return item.announcement;
   };
 
-  // Servers of an evacuated domain lose what they had in memory. The full load that returns at once would crash them.
-  it('takes servers for cold when their domain is taken back', () => {
+  // Servers of an evacuated domain lose their in-memory state. The full load, returning at once, would crash them.
+  it('treats servers as cold when the evacuation of their domain ends', () => {
     const servers = registry();
     servers.put(announcement('s-1'), 0);
     servers.setEvacuated('north-a', true, 0);
@@ -313,15 +317,15 @@
     assert.equal(servers.usable('app', 'north')[0]?.coldUntilMs, 13_000);
   });
 
-  // A late message says "ready" of a server that has said "draining". New work would be cut when it goes.
-  it('never takes a draining server back', () => {
+  // A late message reports a draining server as ready. New work sent to it would be cut off when it stops.
+  it('never makes a draining server usable again', () => {
     const servers = registry();
     servers.put(announcement('s-1', { isDraining: true }), 0);
     servers.put(announcement('s-1'), 1);
     assert.deepEqual(servers.usable('app', 'north'), []);
   });
 
-  it('gives no work to a server that is about to be taken away', () => {
+  it('gives no work to a server that is about to be stopped', () => {
     const servers = registry();
     servers.put(announcement('s-1', { goneInMs: 2_000 }), 0);
     assert.deepEqual(servers.usable('app', 'north'), []);
--- a/src/core/state-sync/testing/published-items.ts
+++ b/src/core/state-sync/testing/published-items.ts
@@ -4,8 +4,11 @@
 
 /** Published items for tests. */
 
-/** A ready server of the north; `more` replaces parts of what it announces. */
-export function serverItem(serverId: string, more: Partial<ServerAnnouncement> = {}): ServerItem {
+/** Returns the item of a ready server in region north; `overrides` replaces parts of its announcement. */
+export function serverItem(
+  serverId: string,
+  overrides: Partial<ServerAnnouncement> = {},
+): ServerItem {
   return {
     kind: 'server',
     announcement: {
@@ -18,12 +21,12 @@
       isDraining: false,
       coldForMs: 0,
       goneInMs: undefined,
-      ...more,
+      ...overrides,
     },
   };
 }
 
-/** A version without routes, whose limits tell it from others under the same number. */
+/** Returns the item of a version that has no routes; `headerTimeoutMs` distinguishes items of the same version. */
 export function routesItem(version: number, headerTimeoutMs = 1_000): RoutesItem {
   const table: RouteTable = {
     version,
--- a/src/core/state-sync/types.ts
+++ b/src/core/state-sync/types.ts
@@ -2,38 +2,38 @@
 import type { ServerAnnouncement } from '../server-registry';
 import type { Position } from './position';
 
-/** One piece of what operators and backend servers publish. */
+/** One item that operators or backend servers publish. */
 export type PublishedItem =
   | { readonly kind: 'routes'; readonly table: RouteTable }
   | { readonly kind: 'server'; readonly announcement: ServerAnnouncement }
   | { readonly kind: 'evacuation'; readonly failureDomain: string };
 
-/** An item that holds routes. */
+/** A published item that holds a version of the routes. */
 export type RoutesItem = PublishedItem & { readonly kind: 'routes' };
 
-/** An item that tells of a server. */
+/** A published item that holds the announcement of a backend server. */
 export type ServerItem = PublishedItem & { readonly kind: 'server' };
 
-/** What a change does. */
+/** The effect of a change on published state. */
 export type PublishedEffect =
   | { readonly kind: 'put'; readonly item: PublishedItem }
   | { readonly kind: 'serverGone'; readonly serverId: string }
   | { readonly kind: 'evacuationEnded'; readonly failureDomain: string }
-  /** It stands among the others in the order in which they were made, since it ends what stood there before. */
+  /** Listed in order with the other changes, since it invalidates the item stored before under the same key. */
   | { readonly kind: 'unreadable'; readonly item: UnreadableItem };
 
-/** One change of what is published, and the revision that it made in the era of the answer that holds it. */
+/** One change of published state, with its revision in the era of the answer that holds it. */
 export type PublishedChange = PublishedEffect & { readonly revision: number };
 
-/** An item that could not be read: it is logged, and names no server to use. */
+/** An item that could not be parsed. It is logged, and the server it belongs to is no longer used. */
 export interface UnreadableItem {
   readonly key: string;
-  /** The server of which it should tell; undefined for an item of something else. */
+  /** The server that the item should describe; undefined for items of other kinds. */
   readonly serverId: string | undefined;
   readonly reason: string;
 }
 
-/** All that is published, as of `position` or a little later. */
+/** The complete published state, as of `position` or slightly later. */
 export interface PublishedState {
   readonly position: Position;
   readonly items: readonly PublishedItem[];
@@ -47,13 +47,13 @@
       readonly position: Position;
       readonly changes: readonly PublishedChange[];
     }
-  /** The history that was asked for is not kept, or is of an era before; everything has to be read again. */
+  /** The requested history is no longer kept or belongs to an earlier era; the complete state must be read again. */
   | { readonly kind: 'historyGone' };
 
-/** The read-only source of published state. Calls reject when it does not answer or refuses. */
+/** The read-only source of published state. Its methods reject if the source does not answer or refuses the call. */
 export interface StateSource {
-  /** Everything that is published. */
+  /** Reads the complete published state. */
   readAll(signal: AbortSignal): Promise<PublishedState>;
-  /** Changes after `position`, as soon as there is one, or none after `waitMs`. */
+  /** Returns the changes after `position` as soon as there are any, or an empty list after `waitMs`. */
   watch(position: Position, waitMs: number, signal: AbortSignal): Promise<PublishedChanges>;
 }
