--- a/src/core/load-sharing/create-load-board.ts
+++ b/src/core/load-sharing/create-load-board.ts
@@ -1,15 +1,16 @@
-import type { LoadStatement } from './types';
+import type { LoadUpdate } from './types';
 
-/** What the other instances of a region have under way at its servers, added up. */
+/** Sums of the open requests that the other instances of the region have at each server. */
 export interface LoadBoard {
-  take(statement: LoadStatement, nowMs: number): void;
-  /** Requests of the others that are open at a server. */
+  /** Replaces the previous update of the same instance. */
+  take(update: LoadUpdate, nowMs: number): void;
+  /** Returns the number of open requests of the other instances at a server. */
   inFlight(incarnationId: string): number;
-  /** Prompt tokens of the others that have not brought a first byte there. */
+  /** Returns the prompt tokens of the other instances' requests at a server that wait for their first byte. */
   pendingTokens(incarnationId: string): number;
-  /** Instances whose statements are in use. */
+  /** Returns the number of instances with an update that has not expired. */
   heardOf(): number;
-  /** Drops what instances said that have fallen silent since. */
+  /** Removes expired updates. */
   dropOld(nowMs: number): void;
 }
 
@@ -18,30 +19,32 @@
   pendingTokens: number;
 }
 
-interface Heard {
-  readonly statement: LoadStatement;
+interface ReceivedUpdate {
+  readonly update: LoadUpdate;
   readonly atMs: number;
 }
 
 /**
- * Age at which a statement is dropped, ms. An instance that has died has its requests ended by then as well, and one
- * that lives speaks several times a second.
+ * TTL of an update, ms. The requests of an instance that has died have ended by then as well. A live instance sends
+ * several updates per second while it has open requests, or at least one per 900 ms; in a large region, fewer (see
+ * `LoadBroadcaster`).
  */
-const OLD_AFTER_MS = 2_000;
+const UPDATE_TTL_MS = 2_000;
 
 /**
- * A board on which nobody has written.
+ * Creates sums that are zero until updates are received.
  *
- * Answers peaks in which several instances choose among the same servers: each sees its own requests at once and those
- * of the others only by reports that come with answers, seconds late. Long prompts that were just sent are on no report
- * at all. So instances pile prompts on the same server, and one notices first bytes and pauses of a second at one server
- * beside another that reads nothing. Statements are whole, so that a lost one is made good by the next.
+ * During peaks several instances choose among the same servers. Each knows its own requests at once, but those of the
+ * others only from the load reports in answers, which are seconds old; long prompts that have just been sent are in no
+ * report at all. Without these updates, instances would send their prompts to the same server: first bytes and pauses
+ * in streams there would take a second while another server computes no prompt. Each update is complete, so the next
+ * one makes up for a lost one.
  */
 export function createLoadBoard(): LoadBoard {
-  const heard = new Map<string, Heard>();
+  const received = new Map<string, ReceivedUpdate>();
   const sums = new Map<string, Sums>();
 
-  const add = ({ servers }: LoadStatement, sign: 1 | -1): void => {
+  const add = ({ servers }: LoadUpdate, sign: 1 | -1): void => {
     for (const { incarnationId, inFlight, pendingTokens } of servers) {
       const sum = sums.get(incarnationId) ?? { inFlight: 0, pendingTokens: 0 };
       sum.inFlight += sign * inFlight;
@@ -51,24 +54,24 @@
     }
   };
 
-  const drop = (from: string): void => {
-    const before = heard.get(from);
-    if (before === undefined) return;
-    add(before.statement, -1);
-    heard.delete(from);
+  const remove = (from: string): void => {
+    const previous = received.get(from);
+    if (previous === undefined) return;
+    add(previous.update, -1);
+    received.delete(from);
   };
 
   return {
-    take(statement, nowMs) {
-      drop(statement.from);
-      heard.set(statement.from, { statement, atMs: nowMs });
-      add(statement, 1);
+    take(update, nowMs) {
+      remove(update.from);
+      received.set(update.from, { update, atMs: nowMs });
+      add(update, 1);
     },
     inFlight: (incarnationId) => Math.max(0, sums.get(incarnationId)?.inFlight ?? 0),
     pendingTokens: (incarnationId) => Math.max(0, sums.get(incarnationId)?.pendingTokens ?? 0),
-    heardOf: () => heard.size,
+    heardOf: () => received.size,
     dropOld(nowMs) {
-      for (const [from, { atMs }] of heard) if (nowMs - atMs > OLD_AFTER_MS) drop(from);
+      for (const [from, { atMs }] of received) if (nowMs - atMs > UPDATE_TTL_MS) remove(from);
     },
   };
 }
--- a/src/core/load-sharing/create-load-teller.ts
+++ b/src/core/load-sharing/create-load-teller.ts
@@ -1,61 +1,66 @@
-import type { ReadNotes } from './create-read-notes';
-import { writeStatement } from './statement-message';
-import type { ServerShare } from './types';
+import type { CachedPartsBuffer } from './create-read-notes';
+import { serializeLoadUpdate } from './statement-message';
+import type { InstanceServerLoad } from './types';
 
-/** Tells the other instances of the region what this one has under way. */
-export interface LoadTeller {
-  /** Tells the others, if it is time and there is something to tell. */
+/** Broadcasts the open requests of this instance to the other instances of its region. */
+export interface LoadBroadcaster {
+  /** Sends an update if the interval has passed and there is something to report. */
   tell(nowMs: number): void;
 }
 
-/** What telling needs. */
-export interface LoadTellerOptions {
+/** Options of a load broadcaster. */
+export interface LoadBroadcasterOptions {
   readonly selfId: string;
-  /** What this instance has under way now. */
-  readonly servers: () => readonly ServerShare[];
-  readonly read: Pick<ReadNotes, 'isEmpty' | 'take'>;
+  /** Returns the current open requests of this instance, per server. */
+  readonly servers: () => readonly InstanceServerLoad[];
+  /** Prompt parts that have been cached since the last update. */
+  readonly read: Pick<CachedPartsBuffer, 'isEmpty' | 'drain'>;
   /** Addresses of the other instances of the region. */
   readonly addresses: () => readonly string[];
   readonly send: (address: string, text: string) => void;
 }
 
 /**
- * Rest between two statements to the same few instances, ms: a long prompt takes a server some hundred ms to read, so
- * that others learn of it before it is read.
+ * Minimum interval between two updates to the same instances, ms. A server takes some hundred ms to compute a long
+ * prompt, so that the other instances get the update before the prompt is done.
  */
-const REST_MS = 100;
+const MIN_INTERVAL_MS = 100;
 /**
- * Instances that may be told after each such rest. With more of them the rest grows, so that what telling costs an
- * instance does not grow with the region.
+ * Number of recipients up to which the minimum interval applies. With more recipients the interval grows, so that the
+ * cost of updates per instance does not grow with the region.
  */
-const TOLD_PER_REST = 4;
-/** Rest between two statements without work, ms: the others have to know that it is heard, and that it has none. */
-const LIFE_SIGN_MS = 900;
+const RECIPIENTS_PER_MIN_INTERVAL = 4;
+/**
+ * Interval between two updates without content, ms: they distinguish an idle instance from one whose updates do not
+ * arrive.
+ */
+const HEARTBEAT_INTERVAL_MS = 900;
 
-/** A teller that has told nobody yet. */
-export function createLoadTeller(options: LoadTellerOptions): LoadTeller {
+/** Creates the load broadcaster of one instance. */
+export function createLoadTeller(options: LoadBroadcasterOptions): LoadBroadcaster {
   const { read } = options;
-  let dueAtMs = 0;
-  let lifeSignAtMs = 0;
-  let hadSomething = false;
+  let nextSendAtMs = 0;
+  let nextHeartbeatAtMs = 0;
+  let hadContent = false;
 
   return {
     tell(nowMs) {
-      if (nowMs < dueAtMs) return;
+      if (nowMs < nextSendAtMs) return;
       const addresses = options.addresses();
       if (addresses.length === 0) {
-        // Kept for whoever comes, the notes would only grow old.
-        read.take();
+        // Discarded, since the entries would be outdated by the time another instance joins.
+        read.drain();
         return;
       }
-      dueAtMs = nowMs + REST_MS * Math.max(1, addresses.length / TOLD_PER_REST);
+      nextSendAtMs =
+        nowMs + MIN_INTERVAL_MS * Math.max(1, addresses.length / RECIPIENTS_PER_MIN_INTERVAL);
       const servers = options.servers();
-      const hasSomething = servers.length > 0 || !read.isEmpty();
-      // The first statement without work says that what was told before is over.
-      if (!hasSomething && !hadSomething && nowMs < lifeSignAtMs) return;
-      hadSomething = hasSomething;
-      lifeSignAtMs = nowMs + LIFE_SIGN_MS;
-      const text = writeStatement({ from: options.selfId, servers, read: read.take() });
+      const hasContent = servers.length > 0 || !read.isEmpty();
+      // The first update without content reports that all requests have ended.
+      if (!hasContent && !hadContent && nowMs < nextHeartbeatAtMs) return;
+      hadContent = hasContent;
+      nextHeartbeatAtMs = nowMs + HEARTBEAT_INTERVAL_MS;
+      const text = serializeLoadUpdate({ from: options.selfId, servers, read: read.drain() });
       for (const address of addresses) options.send(address, text);
     },
   };
--- a/src/core/load-sharing/create-read-notes.ts
+++ b/src/core/load-sharing/create-read-notes.ts
@@ -1,42 +1,43 @@
 import type { ReadParts } from './types';
 
-/** Parts of prompts that servers have read for requests from here, until the others are told. */
-export interface ReadNotes {
+/** Buffers prompt parts that servers have cached for requests of this instance, until they are sent to the others. */
+export interface CachedPartsBuffer {
+  /** Adds parts that a server has cached. */
   note(incarnationId: string, partIds: readonly string[]): void;
-  /** Whether there is something to tell. */
+  /** Whether there is nothing to send. */
   isEmpty(): boolean;
-  /** All that was noted since the call before. */
-  take(): readonly ReadParts[];
+  /** Returns all parts added since the previous call, and removes them. */
+  drain(): readonly ReadParts[];
 }
 
-/** Parts that are told of one server at once; those that were read first matter least and are left out. */
-const MOST_PARTS = 200;
+/** Maximum number of parts per server in one update; the oldest, which matter least, are removed. */
+const MAX_PARTS_PER_SERVER = 200;
 
-/** Notes of nothing. */
-export function createReadNotes(): ReadNotes {
-  const read = new Map<string, Set<string>>();
+/** Creates an empty buffer. */
+export function createReadNotes(): CachedPartsBuffer {
+  const partsByServer = new Map<string, Set<string>>();
   return {
     note(incarnationId, partIds) {
-      const parts = read.get(incarnationId) ?? new Set<string>();
-      read.set(incarnationId, parts);
+      const parts = partsByServer.get(incarnationId) ?? new Set<string>();
+      partsByServer.set(incarnationId, parts);
       for (const partId of partIds) {
-        // Read again, a part counts among the newest.
+        // A part that was used again becomes one of the newest.
         parts.delete(partId);
         parts.add(partId);
       }
       for (const oldest of parts) {
-        if (parts.size <= MOST_PARTS) break;
+        if (parts.size <= MAX_PARTS_PER_SERVER) break;
         parts.delete(oldest);
       }
     },
-    isEmpty: () => read.size === 0,
-    take() {
-      const taken = [...read].map(([incarnationId, partIds]) => ({
+    isEmpty: () => partsByServer.size === 0,
+    drain() {
+      const drained = [...partsByServer].map(([incarnationId, partIds]) => ({
         incarnationId,
         partIds: [...partIds],
       }));
-      read.clear();
-      return taken;
+      partsByServer.clear();
+      return drained;
     },
   };
 }
--- a/src/core/load-sharing/index.ts
+++ b/src/core/load-sharing/index.ts
@@ -1,9 +1,9 @@
-/** What the instances of one region tell one another of their work at its servers. */
+/** Shares the load that each instance of a region puts on its backend servers with the other instances. */
 export { createLoadBoard } from './create-load-board';
 export type { LoadBoard } from './create-load-board';
 export { createLoadTeller } from './create-load-teller';
-export type { LoadTeller, LoadTellerOptions } from './create-load-teller';
+export type { LoadBroadcaster, LoadBroadcasterOptions } from './create-load-teller';
 export { createReadNotes } from './create-read-notes';
-export type { ReadNotes } from './create-read-notes';
-export { readStatement, writeStatement } from './statement-message';
-export type { LoadStatement, ReadParts, ServerShare } from './types';
+export type { CachedPartsBuffer } from './create-read-notes';
+export { readStatement, serializeLoadUpdate } from './statement-message';
+export type { InstanceServerLoad, LoadUpdate, ReadParts } from './types';
--- a/src/core/load-sharing/load-sharing.test.ts
+++ b/src/core/load-sharing/load-sharing.test.ts
@@ -5,97 +5,101 @@
   createLoadTeller,
   createReadNotes,
   readStatement,
-  writeStatement,
+  serializeLoadUpdate,
 } from '.';
-import type { LoadStatement, ServerShare } from '.';
+import type { InstanceServerLoad, LoadUpdate } from '.';
 
-const SHARE: ServerShare = { incarnationId: 's-1', inFlight: 3, pendingTokens: 9_000 };
+const SERVER_LOAD: InstanceServerLoad = { incarnationId: 's-1', inFlight: 3, pendingTokens: 9_000 };
 
-function statement(from: string, servers: readonly ServerShare[]): LoadStatement {
+function loadUpdate(from: string, servers: readonly InstanceServerLoad[]): LoadUpdate {
   return { from, servers, read: [] };
 }
 
-describe('what the other instances have under way', () => {
-  // Two instances have just sent long prompts to the same server. No report shows them yet; a third one that does not
-  // hear of them sends its own there too, and callers wait for all three beside a server that reads nothing.
-  it('adds up what each of them said last', () => {
-    const board = createLoadBoard();
-    board.take(statement('a', [SHARE]), 0);
-    board.take(statement('b', [SHARE]), 0);
-    board.take(statement('b', [{ ...SHARE, inFlight: 1, pendingTokens: 500 }]), 100);
-    assert.equal(board.inFlight('s-1'), 4);
-    assert.equal(board.pendingTokens('s-1'), 9_500);
-    board.take(statement('a', []), 200);
-    assert.equal(board.inFlight('s-1'), 1);
-    assert.equal(board.inFlight('s-2'), 0);
+describe('the load of the other instances', () => {
+  // Two instances have just sent long prompts to the same server, which no load report shows yet. Without their
+  // updates, a third instance would send its prompt there as well, and callers would wait beside an idle server.
+  it('is the sum of their latest updates', () => {
+    const peerLoads = createLoadBoard();
+    peerLoads.take(loadUpdate('a', [SERVER_LOAD]), 0);
+    peerLoads.take(loadUpdate('b', [SERVER_LOAD]), 0);
+    peerLoads.take(loadUpdate('b', [{ ...SERVER_LOAD, inFlight: 1, pendingTokens: 500 }]), 100);
+    assert.equal(peerLoads.inFlight('s-1'), 4);
+    assert.equal(peerLoads.pendingTokens('s-1'), 9_500);
+    peerLoads.take(loadUpdate('a', []), 200);
+    assert.equal(peerLoads.inFlight('s-1'), 1);
+    assert.equal(peerLoads.inFlight('s-2'), 0);
   });
 
-  // An instance loses power. Its requests are over, and counted on for ever they would keep work from the server.
-  it('forgets those that have fallen silent', () => {
-    const board = createLoadBoard();
-    board.take(statement('a', [SHARE]), 0);
-    board.take(statement('b', []), 1_900);
-    board.dropOld(2_001);
-    assert.equal(board.inFlight('s-1'), 0);
-    assert.equal(board.heardOf(), 1);
+  // An instance loses power. If its ended requests still counted, the server would get fewer requests for ever.
+  it('excludes instances whose updates have expired', () => {
+    const peerLoads = createLoadBoard();
+    peerLoads.take(loadUpdate('a', [SERVER_LOAD]), 0);
+    peerLoads.take(loadUpdate('b', []), 1_900);
+    peerLoads.dropOld(2_001);
+    assert.equal(peerLoads.inFlight('s-1'), 0);
+    assert.equal(peerLoads.heardOf(), 1);
   });
 });
 
-describe('telling the others', () => {
+describe('the load broadcaster', () => {
   function setUp(count: number) {
-    const sent: { address: string; statement: LoadStatement | undefined }[] = [];
-    let servers: readonly ServerShare[] = [SHARE];
-    const read = createReadNotes();
-    const teller = createLoadTeller({
-      read,
+    const sent: { address: string; update: LoadUpdate | undefined }[] = [];
+    let servers: readonly InstanceServerLoad[] = [SERVER_LOAD];
+    const buffer = createReadNotes();
+    const broadcaster = createLoadTeller({
+      read: buffer,
       selfId: 'self',
       servers: () => servers,
       addresses: () => Array.from({ length: count }, (_, index) => `10.0.0.${index}:1`),
-      send: (address, text) => sent.push({ address, statement: readStatement(text) }),
+      send: (address, text) => sent.push({ address, update: readStatement(text) }),
     });
-    const setServers = (next: readonly ServerShare[]): void => {
+    const setServers = (next: readonly InstanceServerLoad[]): void => {
       servers = next;
     };
-    return { sent, teller, read, setServers };
+    return { sent, broadcaster, buffer, setServers };
   }
 
-  it('says what was read once, and what is under way each time', () => {
-    const { sent, teller, read } = setUp(1);
-    read.note('s-1', ['q', 'p', 'q']);
-    teller.tell(0);
-    teller.tell(100);
-    assert.deepEqual(sent[0]?.statement?.read, [{ incarnationId: 's-1', partIds: ['p', 'q'] }]);
-    assert.deepEqual(sent[1]?.statement, statement('self', [SHARE]));
+  it('sends cached parts once and open requests with each update', () => {
+    const { sent, broadcaster, buffer } = setUp(1);
+    buffer.note('s-1', ['q', 'p', 'q']);
+    broadcaster.tell(0);
+    broadcaster.tell(100);
+    assert.deepEqual(sent[0]?.update?.read, [{ incarnationId: 's-1', partIds: ['p', 'q'] }]);
+    assert.deepEqual(sent[1]?.update, loadUpdate('self', [SERVER_LOAD]));
   });
 
-  it('says once that nothing is under way any more, and then only that this instance lives', () => {
-    const { sent, teller, setServers } = setUp(1);
-    teller.tell(0);
+  it('reports once that no requests are open, and then only sends heartbeats', () => {
+    const { sent, broadcaster, setServers } = setUp(1);
+    broadcaster.tell(0);
     setServers([]);
-    for (let nowMs = 100; nowMs <= 1_900; nowMs += 100) teller.tell(nowMs);
+    for (let nowMs = 100; nowMs <= 1_900; nowMs += 100) broadcaster.tell(nowMs);
     assert.equal(sent.length, 4);
-    assert.deepEqual(sent.at(-1)?.statement, statement('self', []));
+    assert.deepEqual(sent.at(-1)?.update, loadUpdate('self', []));
   });
 
-  // A region grows to several times its instances. Told at the same pace, each of them would spend as many times more
-  // processor time on what the others say.
-  const costs = [
+  // A region grows to several times its instances. At a constant interval, the processor time that each instance spends
+  // on the updates of the others would grow by the same factor.
+  const messageCounts = [
     { others: 2, sentInTwoSeconds: 40 },
     { others: 4, sentInTwoSeconds: 80 },
     { others: 24, sentInTwoSeconds: 96 },
     { others: 80, sentInTwoSeconds: 80 },
   ];
-  for (const { others, sentInTwoSeconds } of costs) {
-    it(`costs no more than so many messages among ${others} others`, () => {
-      const { sent, teller } = setUp(others);
-      for (let nowMs = 0; nowMs < 2_000; nowMs += 50) teller.tell(nowMs);
+  for (const { others, sentInTwoSeconds } of messageCounts) {
+    it(`limits the number of messages with ${others} other instances`, () => {
+      const { sent, broadcaster } = setUp(others);
+      for (let nowMs = 0; nowMs < 2_000; nowMs += 50) broadcaster.tell(nowMs);
       assert.equal(sent.length, sentInTwoSeconds);
     });
   }
 
-  it('survives the way as text, and what is no statement is left out', () => {
-    const told = { from: 'a', servers: [SHARE], read: [{ incarnationId: 's', partIds: ['p'] }] };
-    assert.deepEqual(readStatement(writeStatement(told)), told);
+  it('serializes and parses updates, and rejects invalid text', () => {
+    const update = {
+      from: 'a',
+      servers: [SERVER_LOAD],
+      read: [{ incarnationId: 's', partIds: ['p'] }],
+    };
+    assert.deepEqual(readStatement(serializeLoadUpdate(update)), update);
     for (const text of [
       '',
       '{',
--- a/src/core/load-sharing/statement-message.ts
+++ b/src/core/load-sharing/statement-message.ts
@@ -1,8 +1,8 @@
 import { z } from 'zod';
-import type { LoadStatement } from './types';
+import type { LoadUpdate } from './types';
 
-/** Rows without the names of their fields, so that most statements fit into one datagram. */
-const statementSchema = z.tuple([
+/** Tuples without field names, so that most updates fit into one datagram. */
+const updateSchema = z.tuple([
   z.string().min(1).describe('from'),
   z.array(
     z.tuple([
@@ -14,8 +14,8 @@
   z.array(z.tuple([z.string().describe('incarnationId'), z.array(z.string()).describe('partIds')])),
 ]);
 
-/** A statement as text. */
-export function writeStatement({ from, servers, read }: LoadStatement): string {
+/** Serializes an update to text. */
+export function serializeLoadUpdate({ from, servers, read }: LoadUpdate): string {
   return JSON.stringify([
     from,
     servers.map(({ incarnationId, inFlight, pendingTokens }) => [
@@ -27,15 +27,15 @@
   ]);
 }
 
-/** A statement from text; undefined where it is none. */
-export function readStatement(text: string): LoadStatement | undefined {
+/** Parses an update; returns undefined if the text is not valid. */
+export function readStatement(text: string): LoadUpdate | undefined {
   let parsed: unknown;
   try {
     parsed = JSON.parse(text);
   } catch {
     return undefined;
   }
-  const rows = statementSchema.safeParse(parsed).data;
+  const rows = updateSchema.safeParse(parsed).data;
   if (rows === undefined) return undefined;
   const [from, servers, read] = rows;
   return {
--- a/src/core/load-sharing/types.ts
+++ b/src/core/load-sharing/types.ts
@@ -1,24 +1,25 @@
-/** What one instance has under way at one server. */
-export interface ServerShare {
-  /** Names one start of the server. */
+/** Open requests of one instance at one server. */
+export interface InstanceServerLoad {
+  /** Identifies one start of the server. */
   readonly incarnationId: string;
-  /** Requests that it has sent there and that are not over. */
+  /** Open requests that the instance has sent to the server. */
   readonly inFlight: number;
-  /** Prompt tokens that it has sent there and that have not brought a first byte. */
+  /** Prompt tokens of those requests that wait for their first byte. */
   readonly pendingTokens: number;
 }
 
-/** Parts of prompts that one server has read for one instance. */
+/** Prompt parts that one server has cached for requests of one instance. */
 export interface ReadParts {
   readonly incarnationId: string;
   readonly partIds: readonly string[];
 }
 
-/** What one instance tells the others of its region. */
-export interface LoadStatement {
+/** Load of one instance, sent to the other instances of its region. */
+export interface LoadUpdate {
+  /** ID of the sending instance. */
   readonly from: string;
-  /** All that it has under way; servers that are not named have nothing of it. */
-  readonly servers: readonly ServerShare[];
-  /** What was read since its statement before. */
+  /** All its open requests; it has none at servers that are not listed. */
+  readonly servers: readonly InstanceServerLoad[];
+  /** Prompt parts cached since its previous update. */
   readonly read: readonly ReadParts[];
 }
--- a/src/core/placement/choose-region.ts
+++ b/src/core/placement/choose-region.ts
@@ -1,60 +1,65 @@
-/** A region that a request may be served in, beside the one of this instance. */
+/** A region other than this instance's own that may serve a request. */
 export interface RegionOption {
   readonly region: string;
-  /** Part of the slots of its usable servers that is taken, from 0 up. */
+  /** Open requests per slot of its servers; above 1 if requests are queued. */
   readonly utilization: number;
 }
 
-/** What the choice between regions rests on. */
+/** Input of the choice between regions. */
 export interface RegionInput {
-  /** Predicted time to the first byte here, ms; undefined where no server here may be used. */
+  /** Predicted time to the first byte in this region, ms; undefined if it has no usable server. */
   readonly localMs: number | undefined;
   /** Latency objective of the request, ms. */
   readonly objectiveMs: number;
   readonly others: readonly RegionOption[];
 }
 
-/** Where a request goes. */
+/** Region that a request is sent to. */
 export type RegionChoice =
   | { readonly kind: 'local' }
   | { readonly kind: 'remote'; readonly region: string }
   | { readonly kind: 'nowhere' };
 
 /**
- * Regions that are fuller than this are not sent work from elsewhere: what is known of them is a second old,
- * and their own callers come first.
+ * Utilization from which another region gets no requests while this region has a usable server: the known value is a
+ * second old, and the callers of the other region come first.
  */
-const FULLEST_TO_SPILL_TO = 0.75;
+const MAX_SPILLOVER_UTILIZATION = 0.75;
 
 /**
- * Part of the objective that a request may be predicted to wait here before another region is tried: with
- * less, small swings send requests over the long link; with more, the objective is missed before they go.
+ * Predicted time to the first byte in this region above which another region is tried, as a share of the objective.
+ * With a lower share, small variations would send requests over the long link; with a higher one, the objective would
+ * be missed before they leave.
  */
-const SPILL_AT_OBJECTIVE_SHARE = 0.6;
+const MAX_LOCAL_OBJECTIVE_SHARE = 0.6;
 
-/** Fullest region that is used where none here can serve at all. */
-const FULLEST_OF_NEED = 1.5;
+/** Utilization from which another region is not used even if no server of this region is usable. */
+const MAX_UTILIZATION_WITHOUT_LOCAL_SERVER = 1.5;
 
-function emptiest(options: readonly RegionOption[], below: number): RegionOption | undefined {
+function leastUtilized(
+  options: readonly RegionOption[],
+  maxUtilization: number,
+): RegionOption | undefined {
   return options
-    .filter((option) => option.utilization < below)
+    .filter((option) => option.utilization < maxUtilization)
     .sort((left, right) => left.utilization - right.utilization)[0];
 }
 
 /**
  * Chooses between this region and others.
  *
- * Answers peaks that pass from region to region: a small region cannot serve its own, while others idle.
- * Without this its callers wait or are refused next to free servers elsewhere. With too little patience the
- * requests of a mere burst cross the long link, read their prompts anew there, and take the slots of others.
+ * Load peaks move from region to region: a small region may not be able to serve its own callers while others are
+ * idle. Without spillover, its callers would wait or be refused although servers elsewhere are free. If spillover
+ * began too early, the requests of a short burst would cross the long link, have their prompts computed again there,
+ * and occupy slots that the other region's callers need.
  */
 export function chooseRegion(input: RegionInput): RegionChoice {
   const { localMs, objectiveMs, others } = input;
   if (localMs === undefined) {
-    const region = emptiest(others, FULLEST_OF_NEED)?.region;
+    const region = leastUtilized(others, MAX_UTILIZATION_WITHOUT_LOCAL_SERVER)?.region;
     return region === undefined ? { kind: 'nowhere' } : { kind: 'remote', region };
   }
-  if (localMs <= objectiveMs * SPILL_AT_OBJECTIVE_SHARE) return { kind: 'local' };
-  const region = emptiest(others, FULLEST_TO_SPILL_TO)?.region;
+  if (localMs <= objectiveMs * MAX_LOCAL_OBJECTIVE_SHARE) return { kind: 'local' };
+  const region = leastUtilized(others, MAX_SPILLOVER_UTILIZATION)?.region;
   return region === undefined ? { kind: 'local' } : { kind: 'remote', region };
 }
--- a/src/core/placement/choose-server.ts
+++ b/src/core/placement/choose-server.ts
@@ -1,68 +1,65 @@
-import type { Candidate, ServicePace } from './types';
+import type { Candidate, ServiceSpeed } from './types';
 
 /**
- * Chooses the server with the least predicted time to its first byte, failures weighed in.
+ * Selection of the server with the lowest predicted time to the first byte plus the expected cost of failures.
  *
- * Answers uneven load on servers that batch requests and cache prompts: sending each request to the least
- * loaded server reads shared prompts again on all of them, and sending it to the one that holds the prompt
- * piles requests up on the server of a popular prompt. One notices the first by prefill work that grows with
- * the number of servers, the second by a queue at one server beside idle ones. Waiting and reading again are
- * both time here, so they are weighed against one another in one unit. A fleet of tens of servers is looked
- * at whole: drawing two at random finds the one that holds a prompt only by luck.
+ * Servers batch requests and cache prompts. If each request went to the least loaded server, every server would compute
+ * the shared prompts, and prefill work would grow with the number of servers. If each went to the server that has
+ * cached its prompt, the server of a popular prompt would have a queue while others are idle. Waiting and computing the
+ * prompt again are both expressed as time, so they can be compared. All candidates of a fleet of tens of servers are
+ * evaluated: a random pair would include the server that has cached the prompt only by chance.
  *
- * Failures count in the choice and not in the predicted time, by which requests are let in: where all servers fail
- * a part of their requests, the others are served as fast as ever, and refusing them too would double the harm.
+ * Failures affect the choice but not the predicted time, on which admission is based: if all servers fail some of their
+ * requests, the others are served as fast as before, and refusing them as well would double the damage.
  */
 
-/** Share of a request's prefill by which it delays others that decode beside it; they run in one batch. */
-const PENDING_WEIGHT = 0.7;
+/** Weight of pending prefill time: the share of it by which a prefill delays the requests decoding in its batch. */
+const PENDING_PREFILL_WEIGHT = 0.7;
 
-/**
- * Part of the slot time by which a full batch delays a first byte, which comes after a step or two of the others.
- */
-const CROWDING_SHARE = 0.05;
+/** Share of the slot time by which a full batch delays a first byte: one or two decoding steps of the others. */
+const BATCH_DELAY_SHARE = 0.05;
 
-/** Time to begin a copy between two caches, ms: a round trip within a region and a look-up. */
-const COPY_SET_UP_MS = 6;
+/** Time to start a copy between two caches, ms: a round trip within a region and a lookup. */
+const COPY_SETUP_MS = 6;
 
-function copyMs(tokens: number, { copyMsPerToken = 0 }: ServicePace): number {
-  return tokens === 0 ? 0 : COPY_SET_UP_MS + tokens * copyMsPerToken;
+function copyMs(tokens: number, { copyMsPerToken = 0 }: ServiceSpeed): number {
+  return tokens === 0 ? 0 : COPY_SETUP_MS + tokens * copyMsPerToken;
 }
 
-/** Predicted time to the first byte at a server, ms. */
-export function predictFirstByteMs(candidate: Candidate, pace: ServicePace): number {
+/** Returns the predicted time to the first byte at a server, ms. */
+export function predictFirstByteMs(candidate: Candidate, speed: ServiceSpeed): number {
   const { slots, load, pendingTokens, uncachedTokens, copyableTokens, delayMs } = candidate;
-  const waiting = Math.max(0, load + 1 - slots);
-  const waitMs = (waiting * pace.slotTimeMs) / Math.max(1, slots);
-  const crowdingMs =
-    (Math.min(load, slots) / Math.max(1, slots)) * pace.slotTimeMs * CROWDING_SHARE;
-  const readTokens = uncachedTokens - copyableTokens + pendingTokens * PENDING_WEIGHT;
-  const prefillMs = readTokens * pace.prefillMsPerToken;
-  return waitMs + crowdingMs + prefillMs + copyMs(copyableTokens, pace) + delayMs;
+  const queued = Math.max(0, load + 1 - slots);
+  const waitMs = (queued * speed.slotTimeMs) / Math.max(1, slots);
+  const batchDelayMs =
+    (Math.min(load, slots) / Math.max(1, slots)) * speed.slotTimeMs * BATCH_DELAY_SHARE;
+  const prefillTokens = uncachedTokens - copyableTokens + pendingTokens * PENDING_PREFILL_WEIGHT;
+  const prefillMs = prefillTokens * speed.prefillMsPerToken;
+  return waitMs + batchDelayMs + prefillMs + copyMs(copyableTokens, speed) + delayMs;
 }
 
-/** A server with what it is expected to take. */
+/** A selected server and the predicted cost of the request there. */
 export interface ServerChoice {
   readonly incarnationId: string;
   readonly predictedMs: number;
-  /** Prompt tokens that it will probably have to read, those that it copies left out. */
+  /** Estimated prompt tokens that the server has to compute, without those that it copies. */
   readonly readTokens: number;
 }
 
-/** The best of the candidates; undefined where there are none. */
+/** Returns the best candidate; undefined if there are none. */
 export function chooseServer(
   candidates: readonly Candidate[],
-  pace: ServicePace,
+  speed: ServiceSpeed,
 ): ServerChoice | undefined {
   let best: ServerChoice | undefined;
-  let leastCostMs = Infinity;
+  let minCostMs = Infinity;
   for (const candidate of candidates) {
-    const predictedMs = predictFirstByteMs(candidate, pace);
+    const predictedMs = predictFirstByteMs(candidate, speed);
     const costMs = predictedMs + candidate.failureCostMs;
-    if (costMs < leastCostMs) {
+    if (costMs < minCostMs) {
       const { incarnationId, uncachedTokens, copyableTokens } = candidate;
       best = { incarnationId, predictedMs, readTokens: uncachedTokens - copyableTokens };
-      leastCostMs = costMs;
+      minCostMs = costMs;
     }
   }
   return best;
--- a/src/core/placement/index.ts
+++ b/src/core/placement/index.ts
@@ -1,4 +1,4 @@
-/** Decides which backend server, in which region, a request goes to. */
+/** Selects the region and the backend server that a request is sent to. */
 export { chooseRegion } from './choose-region';
 export type { RegionChoice, RegionInput, RegionOption } from './choose-region';
 export { chooseServer, predictFirstByteMs } from './choose-server';
@@ -20,4 +20,4 @@
 export type { SizeAdmission } from './size-admission';
 export { createSpillWindows } from './spill-windows';
 export type { SpillSeen, SpillWindows } from './spill-windows';
-export type { Candidate, LoadReport, ModelDemand, PromptPart, ServicePace } from './types';
+export type { Candidate, LoadReport, ModelDemand, PromptPart, ServiceSpeed } from './types';
--- a/src/core/placement/placement.test.ts
+++ b/src/core/placement/placement.test.ts
@@ -9,7 +9,7 @@
 } from '.';
 import type { Candidate } from '.';
 
-const PACE = { prefillMsPerToken: 0.025, slotTimeMs: 1_000 };
+const SPEED = { prefillMsPerToken: 0.025, slotTimeMs: 1_000 };
 
 function candidate(incarnationId: string, more: Partial<Candidate> = {}): Candidate {
   return {
@@ -25,25 +25,25 @@
   };
 }
 
-describe('the server of a request', () => {
+describe('chooseServer', () => {
   const cases: readonly {
     readonly name: string;
     readonly candidates: readonly Candidate[];
     readonly expected: string | undefined;
   }[] = [
-    { name: 'is none where there is none', candidates: [], expected: undefined },
+    { name: 'returns undefined without candidates', candidates: [], expected: undefined },
     {
-      name: 'is the one that holds its prompt, while that has slots',
+      name: 'prefers the server that has cached the prompt while it has free slots',
       candidates: [candidate('holds', { load: 30 }), candidate('idle', { uncachedTokens: 9_000 })],
       expected: 'holds',
     },
     {
-      name: 'is not the one that holds its prompt once a queue there costs more than reading it again',
+      name: 'avoids the server that has cached the prompt if its queue costs more than computing it again',
       candidates: [candidate('holds', { load: 90 }), candidate('idle', { uncachedTokens: 9_000 })],
       expected: 'idle',
     },
     {
-      name: 'is not one that has long prompts to read first',
+      name: 'avoids a server with long pending prompts',
       candidates: [
         candidate('reading', { pendingTokens: 40_000 }),
         candidate('busy', { load: 40 }),
@@ -51,85 +51,85 @@
       expected: 'busy',
     },
     {
-      name: 'is not one that was slow lately',
+      name: 'avoids a server that has recently been slow',
       candidates: [candidate('slow', { delayMs: 300 }), candidate('busy', { load: 50 })],
       expected: 'busy',
     },
     {
-      name: 'is not one that was failing lately',
+      name: 'avoids a server that has recently failed requests',
       candidates: [candidate('failing', { failureCostMs: 300 }), candidate('busy', { load: 50 })],
       expected: 'busy',
     },
     {
-      name: 'is a failing one where all fail: the fleet is never ejected',
+      name: 'selects a failing server if all fail, so that the fleet is never ejected as a whole',
       candidates: [candidate('a', { failureCostMs: 900 }), candidate('b', { failureCostMs: 800 })],
       expected: 'b',
     },
   ];
   for (const { name, candidates, expected } of cases) {
-    it(name, () => assert.equal(chooseServer(candidates, PACE)?.incarnationId, expected));
+    it(name, () => assert.equal(chooseServer(candidates, SPEED)?.incarnationId, expected));
   }
 
-  // Many long prompts arrive within a moment, before any report could show where they went.
-  it('is another one for each of many requests that arrive together', () => {
+  // Many long prompts arrive at once, before any load report shows to which servers they were sent.
+  it('distributes requests that arrive together', () => {
     const loads = createServerLoads();
     const ids = ['s-1', 's-2', 's-3', 's-4'];
-    const counts = new Map(ids.map((id): [string, number] => [id, 0]));
+    const requestsByServer = new Map(ids.map((id): [string, number] => [id, 0]));
     for (let count = 0; count < 40; count += 1) {
       const choice = chooseServer(
         ids.map((id) =>
           candidate(id, { load: loads.load(id, 0), pendingTokens: loads.pendingTokens(id) }),
         ),
-        PACE,
+        SPEED,
       );
       const { incarnationId } = choice ?? { incarnationId: '' };
       loads.noteSent(incarnationId, 6_000, 0);
-      counts.set(incarnationId, (counts.get(incarnationId) ?? 0) + 1);
+      requestsByServer.set(incarnationId, (requestsByServer.get(incarnationId) ?? 0) + 1);
     }
-    assert.deepEqual([...counts.values()], [10, 10, 10, 10]);
+    assert.deepEqual([...requestsByServer.values()], [10, 10, 10, 10]);
   });
 });
 
-describe('the predicted time to a first byte', () => {
-  // All servers of a service fail half of their requests. Were that counted as slowness, the half that would have
-  // been served well would be refused as well.
-  it('is not longer where a server fails requests', () => {
-    const choice = chooseServer([candidate('failing', { failureCostMs: 500 })], PACE);
-    assert.equal(choice?.predictedMs, chooseServer([candidate('sound')], PACE)?.predictedMs);
+describe('the predicted time to the first byte', () => {
+  // All servers of a service fail half of their requests. If failures counted as slowness, the other half would be
+  // refused although it would be served in time.
+  it('is not longer for a server that fails requests', () => {
+    const choice = chooseServer([candidate('failing', { failureCostMs: 500 })], SPEED);
+    assert.equal(choice?.predictedMs, chooseServer([candidate('sound')], SPEED)?.predictedMs);
   });
 });
 
-describe('the region of a request', () => {
+describe('chooseRegion', () => {
   const idle = { region: 'south', utilization: 0.2 };
   const full = { region: 'east', utilization: 0.9 };
   const input = { objectiveMs: 800, others: [full, idle] };
   const cases = [
     {
-      name: 'is its own while it can be served well there',
+      name: 'stays in the local region while it can serve the request in time',
       localMs: 300,
       others: [idle],
       to: 'local',
     },
     {
-      name: 'is an idle one once waiting here would cost the objective',
+      name: 'selects an idle region if waiting locally would endanger the objective',
       localMs: 700,
       others: [full, idle],
       to: 'south',
     },
     {
-      name: 'is its own when the others are full as well',
+      name: 'stays in the local region if the others are full as well',
       localMs: 5_000,
       others: [full],
       to: 'local',
     },
     {
-      name: 'is another one where nothing here may be used',
+      name: 'selects another region if the local one has no usable server',
       localMs: undefined,
       others: [full],
       to: 'east',
     },
     {
-      name: 'is none where there is nothing anywhere',
+      name: 'selects none if no region has a usable server',
       localMs: undefined,
       others: [],
       to: 'nowhere',
@@ -143,8 +143,8 @@
   }
 });
 
-describe('what is known of a server', () => {
-  it('counts requests of other instances by its own report, and own ones at once', () => {
+describe('the load of a server', () => {
+  it('includes requests of other instances as reported by the server, and own requests at once', () => {
     const loads = createServerLoads();
     loads.noteSent('s-1', 0, 0);
     loads.noteReport('s-1', { running: 10, waiting: 2, slots: 64 }, 0);
@@ -153,8 +153,8 @@
     assert.equal(loads.load('s-1', 0), 13);
   });
 
-  // A server loses power. Nothing comes from it, no connection is reset, and each new request would wait there.
-  it('turns against it while it owes answers and nothing comes', () => {
+  // A server loses power: it sends nothing, no connection is reset, and each new request would wait there.
+  it('includes a delay while requests wait for a first byte and the server is silent', () => {
     const loads = createServerLoads();
     loads.noteSent('s-1', 0, 0);
     assert.equal(loads.delayMs('s-1', 100), 0);
@@ -164,8 +164,8 @@
     assert.equal(loads.delayMs('s-1', 2_100), 0);
   });
 
-  // A server fails half of its requests while its health check is good.
-  it('turns against it while it fails, and forgets within seconds', () => {
+  // A server fails half of its requests while its health check passes.
+  it('includes the share of failed requests, which decays within seconds', () => {
     const loads = createServerLoads();
     for (let count = 0; count < 40; count += 1) {
       loads.noteSent('s-1', 0, 0);
@@ -177,7 +177,7 @@
     assert.equal(loads.totalInFlight(), 0);
   });
 
-  it('keeps new requests away for a moment after it could not be reached, longer each time', () => {
+  it('applies a growing backoff after each failed connection', () => {
     const loads = createServerLoads();
     loads.noteUnreachable('s-1', 0);
     assert.equal(loads.isBlocked('s-1', 249), true);
@@ -187,16 +187,16 @@
     assert.equal(loads.isBlocked('s-1', 750), false);
   });
 
-  // A link loses one packet of each of five connections that are being made. Counted one by one, that would keep a
-  // sound server out of use for seconds.
-  it('counts connections that fail in one moment as one failure', () => {
+  // A link loses one packet of each of five connections that are being opened. If each counted as a failure, a healthy
+  // server would not be used for seconds.
+  it('counts connections that fail at the same time as one failure', () => {
     const loads = createServerLoads();
     for (let count = 0; count < 5; count += 1) loads.noteUnreachable('s-1', 0);
     assert.equal(loads.isBlocked('s-1', 250), false);
   });
 });
 
-describe('what caches hold', () => {
+describe('the view of prefix caches', () => {
   const demand = {
     promptTokens: 9_190,
     parts: [
@@ -206,7 +206,7 @@
     ],
   };
 
-  it('is what was sent there, up to the first part that was not', () => {
+  it('counts the parts that were sent to a server, up to the first that was not', () => {
     const view = createPrefixCacheView();
     assert.equal(view.cachedTokens('s-1', demand), 0);
     view.noteRead('s-1', demand);
@@ -221,25 +221,25 @@
     assert.equal(view.cachedTokens('s-1', misplaced), 0);
   });
 
-  it('is looked for at the same server by all instances', () => {
+  it('prefers the same server on all instances', () => {
     const ids = ['s-1', 's-2', 's-3'];
-    const first = createPrefixCacheView().preferred(ids, demand);
-    const second = createPrefixCacheView().preferred([...ids].reverse(), demand);
+    const first = createPrefixCacheView().preferredServer(ids, demand);
+    const second = createPrefixCacheView().preferredServer([...ids].reverse(), demand);
     assert.equal(first, second);
     assert.ok(first !== undefined);
   });
 });
 
-describe('the pace of a service', () => {
-  it('follows what is measured, within bounds', () => {
-    const paces = createServicePaces();
+describe('the speed of a service', () => {
+  it('follows the measured values within bounds', () => {
+    const speeds = createServicePaces();
     for (let count = 0; count < 200; count += 1) {
-      paces.notePrefill('llm', 5_000, 250);
-      paces.noteSlotTime('llm', 400);
+      speeds.notePrefill('llm', 5_000, 250);
+      speeds.noteSlotTime('llm', 400);
     }
-    assert.ok(Math.abs(paces.pace('llm').prefillMsPerToken - 0.05) < 0.002);
-    assert.ok(Math.abs(paces.pace('llm').slotTimeMs - 400) < 5);
-    for (let count = 0; count < 500; count += 1) paces.notePrefill('llm', 5_000, 60_000);
-    assert.ok(paces.pace('llm').prefillMsPerToken <= 0.2);
+    assert.ok(Math.abs(speeds.pace('llm').prefillMsPerToken - 0.05) < 0.002);
+    assert.ok(Math.abs(speeds.pace('llm').slotTimeMs - 400) < 5);
+    for (let count = 0; count < 500; count += 1) speeds.notePrefill('llm', 5_000, 60_000);
+    assert.ok(speeds.pace('llm').prefillMsPerToken <= 0.2);
   });
 });
--- a/src/core/placement/prediction-correction.ts
+++ b/src/core/placement/prediction-correction.ts
@@ -1,6 +1,8 @@
-/** Corrects predicted times to the first byte by what came of earlier ones. */
+/** Corrects predicted times to the first byte by the accuracy of earlier predictions. */
 export interface PredictionCorrection {
+  /** Returns the corrected prediction; `kind` identifies requests that servers treat alike. */
   correct(kind: string, predictedMs: number): number;
+  /** Records the actual time to the first byte of a request. */
   note(kind: string, predictedMs: number, actualMs: number): void;
 }
 
@@ -9,20 +11,20 @@
   actualMs: number;
 }
 
-/** Part of the sums that one more sample leaves; some fifty requests decide. */
-const KEPT = 0.98;
-/** Weight of the prediction itself before anything is measured, ms: some ten requests of a usual length. */
-const PRIOR_MS = 2_000;
-/** Bounds that keep an odd minute from making every server look free or hopeless. */
-const LEAST = 0.2;
-const MOST = 3;
+/** Share of the sums that remains after each new sample: they cover about the last fifty requests. */
+const DECAY = 0.98;
+/** Weight of the uncorrected prediction, ms: as much as about ten requests of a usual duration. */
+const PRIOR_WEIGHT_MS = 2_000;
+/** Bounds of the correction, so that a minute of unusual load does not make every server look free or unusable. */
+const MIN_RATIO = 0.2;
+const MAX_RATIO = 3;
 
 /**
- * A correction that knows nothing yet.
+ * Creates a correction without any samples.
  *
- * The prediction sees a server's load as one number, while servers let urgent requests pass others: what is
- * urgent waits less than predicted, the rest longer. Uncorrected, urgent requests are sent to other regions or
- * refused though they would be served in time here. `kind` names requests that are treated alike.
+ * The prediction treats the load of a server as one number, but servers prefer urgent requests: these wait less than
+ * predicted, the others longer. Without a correction, urgent requests would be sent to other regions or refused
+ * although they would be served in time here.
  */
 export function createPredictionCorrection(): PredictionCorrection {
   const sums = new Map<string, Sums>();
@@ -32,14 +34,14 @@
         predictedMs: 0,
         actualMs: 0,
       };
-      const ratio = (actualMs + PRIOR_MS) / (predicted + PRIOR_MS);
-      return predictedMs * Math.min(MOST, Math.max(LEAST, ratio));
+      const ratio = (actualMs + PRIOR_WEIGHT_MS) / (predicted + PRIOR_WEIGHT_MS);
+      return predictedMs * Math.min(MAX_RATIO, Math.max(MIN_RATIO, ratio));
     },
     note(kind, predictedMs, actualMs) {
-      const before = sums.get(kind) ?? { predictedMs: 0, actualMs: 0 };
+      const previous = sums.get(kind) ?? { predictedMs: 0, actualMs: 0 };
       sums.set(kind, {
-        predictedMs: before.predictedMs * KEPT + predictedMs,
-        actualMs: before.actualMs * KEPT + actualMs,
+        predictedMs: previous.predictedMs * DECAY + predictedMs,
+        actualMs: previous.actualMs * DECAY + actualMs,
       });
     },
   };
--- a/src/core/placement/prefix-cache-view.ts
+++ b/src/core/placement/prefix-cache-view.ts
@@ -1,57 +1,57 @@
 import { rankFor } from '../rendezvous';
 import type { ModelDemand } from './types';
 
-/** What the servers' prompt caches probably hold, by what was sent to them from here. */
+/** Estimates what the prompt caches of servers hold, based on the prompts that were sent to them. */
 export interface PrefixCacheView {
-  /** Prompt tokens of the request that a server probably holds, from the first one on. */
+  /** Returns how many tokens from the start of the request's prompt the server has probably cached. */
   cachedTokens(incarnationId: string, demand: ModelDemand): number;
-  /** Notes that a server has read the request's prompt. */
+  /** Records that a server has processed the prompt of a request. */
   noteRead(incarnationId: string, demand: ModelDemand): void;
-  /** Notes that a server has read these parts of a prompt. */
+  /** Records that a server has processed these parts of a prompt. */
   noteParts(incarnationId: string, partIds: readonly string[]): void;
-  /** Forgets servers that have gone. */
+  /** Removes the data of all other servers. */
   keepOnly(incarnationIds: ReadonlySet<string>): void;
-  /** Which of the servers all instances prefer for the request's shared parts. */
-  preferred(incarnationIds: readonly string[], demand: ModelDemand): string | undefined;
+  /** Returns the server that all instances prefer for the request's shared parts; undefined if it shares none. */
+  preferredServer(incarnationIds: readonly string[], demand: ModelDemand): string | undefined;
 }
 
-/** Parts remembered for one server; more than a cache of some hundred thousand tokens holds. */
-const MOST_PARTS = 400;
+/** Maximum number of parts recorded per server: more than a cache of some hundred thousand tokens holds. */
+const MAX_PARTS_PER_SERVER = 400;
 
 /**
- * A view that knows nothing.
+ * Creates an empty view.
  *
- * Other instances send to the same servers, and this one does not see what. All of them rank the servers of a
- * region for a shared part by the same hash, so the server that ranks first is likely to have read it already.
+ * Other instances send prompts to the same servers, and this instance does not see which. All instances rank the
+ * servers of a region for shared parts by the same hash, so the server that ranks first has probably cached them.
  */
 export function createPrefixCacheView(): PrefixCacheView {
-  const partsAt = new Map<string, Map<string, true>>();
+  const partsByServer = new Map<string, Map<string, true>>();
 
-  const sharedKey = ({ parts }: ModelDemand): string | undefined => {
+  const sharedPartsKey = ({ parts }: ModelDemand): string | undefined => {
     const shared = parts.slice(0, -1);
     return shared.length === 0 ? undefined : shared.map((part) => part.partId).join(',');
   };
 
   const noteParts = (incarnationId: string, partIds: readonly string[]): void => {
-    const held = partsAt.get(incarnationId) ?? new Map<string, true>();
-    partsAt.set(incarnationId, held);
+    const cachedParts = partsByServer.get(incarnationId) ?? new Map<string, true>();
+    partsByServer.set(incarnationId, cachedParts);
     for (const partId of partIds) {
-      held.delete(partId);
-      held.set(partId, true);
+      cachedParts.delete(partId);
+      cachedParts.set(partId, true);
     }
-    for (const oldest of held.keys()) {
-      if (held.size <= MOST_PARTS) break;
-      held.delete(oldest);
+    for (const oldest of cachedParts.keys()) {
+      if (cachedParts.size <= MAX_PARTS_PER_SERVER) break;
+      cachedParts.delete(oldest);
     }
   };
 
   return {
     noteParts,
     cachedTokens(incarnationId, demand) {
-      const held = partsAt.get(incarnationId);
+      const cachedParts = partsByServer.get(incarnationId);
       let cached = 0;
       for (const { partId, tokens } of demand.parts) {
-        if (held?.has(partId) !== true) break;
+        if (cachedParts?.has(partId) !== true) break;
         cached += tokens;
       }
       return Math.min(demand.promptTokens, cached);
@@ -63,12 +63,12 @@
       );
     },
     keepOnly(incarnationIds) {
-      for (const incarnationId of partsAt.keys()) {
-        if (!incarnationIds.has(incarnationId)) partsAt.delete(incarnationId);
+      for (const incarnationId of partsByServer.keys()) {
+        if (!incarnationIds.has(incarnationId)) partsByServer.delete(incarnationId);
       }
     },
-    preferred(incarnationIds, demand) {
-      const key = sharedKey(demand);
+    preferredServer(incarnationIds, demand) {
+      const key = sharedPartsKey(demand);
       return key === undefined ? undefined : rankFor(key, incarnationIds)[0];
     },
   };
--- a/src/core/placement/prompt-copies.test.ts
+++ b/src/core/placement/prompt-copies.test.ts
@@ -3,7 +3,7 @@
 import { chooseServer, createPrefixCacheView, supplyPrompts } from '.';
 import type { Candidate, ModelDemand } from '.';
 
-const PACE = { prefillMsPerToken: 0.03, slotTimeMs: 1_000, copyMsPerToken: 0.004 };
+const SPEED = { prefillMsPerToken: 0.03, slotTimeMs: 1_000, copyMsPerToken: 0.004 };
 
 function candidate(incarnationId: string, more: Partial<Candidate> = {}): Candidate {
   return {
@@ -19,7 +19,7 @@
   };
 }
 
-describe('a prompt whose first parts a neighbour holds', () => {
+describe('a prompt whose first parts a neighbour has cached', () => {
   const DEMAND: ModelDemand = {
     promptTokens: 9_190,
     parts: [
@@ -30,49 +30,49 @@
   };
   const IDS = ['s-1', 's-2', 's-3'];
 
-  // Many callers ask about the same document in a peak. The server that holds it is busy; each other one would read it
-  // again, and hold up all its streams for as long.
-  it('is copied by a server that does not hold them', () => {
+  // During a peak many callers send prompts about the same document. The server that has cached it is busy; each other
+  // server would have to compute it again and would delay all its streams meanwhile.
+  it('is copied by a server that has not cached them', () => {
     const view = createPrefixCacheView();
     view.noteParts('s-1', ['a', 'b']);
-    const supplies = supplyPrompts(view, IDS, DEMAND, true);
-    assert.deepEqual(supplies('s-2'), {
+    const planFor = supplyPrompts(view, IDS, DEMAND, true);
+    assert.deepEqual(planFor('s-2'), {
       uncachedTokens: 9_190,
       copyableTokens: 6_300,
       copyFrom: 's-1',
     });
-    assert.equal(supplies('s-1').copyFrom, undefined);
+    assert.equal(planFor('s-1').copyFrom, undefined);
   });
 
-  const uncopied = [
-    { name: 'where servers cannot copy', parts: ['a', 'b'], mayCopy: false },
-    { name: 'where the neighbour holds a part in the middle alone', parts: ['b'], mayCopy: true },
+  const uncopiedCases = [
+    { name: 'if servers cannot copy', parts: ['a', 'b'], mayCopy: false },
+    { name: 'if the neighbour has cached only a part in the middle', parts: ['b'], mayCopy: true },
   ];
-  for (const { name, parts, mayCopy } of uncopied) {
+  for (const { name, parts, mayCopy } of uncopiedCases) {
     it(`is not copied ${name}`, () => {
       const view = createPrefixCacheView();
       view.noteParts('s-1', parts);
-      const preferred = view.preferred(IDS, DEMAND) ?? '';
-      const supply = supplyPrompts(view, IDS, DEMAND, mayCopy)(preferred);
-      assert.equal(supply.copyFrom, undefined);
+      const preferred = view.preferredServer(IDS, DEMAND) ?? '';
+      const plan = supplyPrompts(view, IDS, DEMAND, mayCopy)(preferred);
+      assert.equal(plan.copyFrom, undefined);
     });
   }
 
-  // An instance that has just started knows nothing of caches, though the servers have kept theirs.
-  it('is looked for at the server that all instances prefer, while nothing is known', () => {
+  // An instance that has just started has no data on caches, although the servers have kept theirs.
+  it('is copied from the server that all instances prefer if no cache is known', () => {
     const view = createPrefixCacheView();
-    const preferred = view.preferred(IDS, DEMAND);
+    const preferred = view.preferredServer(IDS, DEMAND);
     const other = IDS.find((id) => id !== preferred) ?? '';
     assert.equal(supplyPrompts(view, IDS, DEMAND, true)(other).copyFrom, preferred);
   });
 
-  it('draws its request away from the busy holder to a free server', () => {
+  it('is processed by a free server instead of the busy server that has cached them', () => {
     const choice = chooseServer(
       [
         candidate('holder', { uncachedTokens: 2_890, pendingTokens: 30_000, load: 20 }),
         candidate('free', { uncachedTokens: 9_190, copyableTokens: 6_300 }),
       ],
-      PACE,
+      SPEED,
     );
     assert.equal(choice?.incarnationId, 'free');
   });
--- a/src/core/placement/prompt-copies.ts
+++ b/src/core/placement/prompt-copies.ts
@@ -1,41 +1,41 @@
 import type { PrefixCacheView } from './prefix-cache-view';
 import type { ModelDemand } from './types';
 
-/** What a server has of a prompt, and where it can get more. */
+/** Tokens of a prompt that a server lacks in its cache, and the neighbour to copy them from. */
 export interface PromptSupply {
-  /** Prompt tokens that it does not hold, as estimated. */
+  /** Estimated prompt tokens that are not in the server's cache. */
   readonly uncachedTokens: number;
-  /** Tokens of those that it can copy from a neighbour. */
+  /** Uncached tokens that the server can copy from a neighbour. */
   readonly copyableTokens: number;
-  /** The neighbour to copy from; undefined where that is not worth while. */
+  /** Server to copy from; undefined if copying would not save time. */
   readonly copyFrom: string | undefined;
 }
 
-/** Supplies of one request at each of several servers. */
+/** Returns which tokens of one request a server would have to compute or could copy. */
 export type PromptSupplies = (incarnationId: string) => PromptSupply;
 
 /**
- * Fewest tokens that are copied. Setting a copy up takes about as long as reading two hundred tokens, and a guess that
- * the neighbour holds them may be wrong.
+ * Minimum number of tokens to copy: setting up a copy takes as long as computing about 200 tokens, and the estimate
+ * that the neighbour has cached them may be wrong.
  */
-const FEWEST_COPIED = 256;
+const MIN_COPIED_TOKENS = 256;
 /**
- * Part of the shared parts that the server which all instances prefer for them probably holds, where none is known to
- * hold any: right after a start, or when they were read long ago.
+ * Assumed share of a request's shared tokens that the preferred server has cached, if no server is known to have cached
+ * any: right after a start, or if they were processed long ago.
  */
-const PROBABLY_HELD = 0.7;
+const ASSUMED_SHARE = 0.7;
 
-/** Shared tokens of a request: all parts but the last, which is its own. */
+/** Returns the shared tokens of a request: those of all parts but the last, which is specific to the request. */
 function sharedTokens({ parts }: ModelDemand): number {
   return parts.slice(0, -1).reduce((sum, { tokens }) => sum + tokens, 0);
 }
 
 /**
- * Judges which of the servers hold how much of a prompt.
+ * Returns a function that estimates how much of a prompt each server has cached, and from where it can copy the rest.
  *
- * Answers long prompts whose first parts many requests share, in a peak: the server that holds them is busy, and another
- * one would read them again, which delays every stream there for as long as it takes. A copy between two caches costs an
- * eighth of reading. One notices without it tokens of shared parts that are read on each server of a region in turn.
+ * During a peak, the server that has cached the first parts of a long prompt, shared by many requests, is busy. Another
+ * server would have to compute them again, which delays all its streams meanwhile; the same shared parts would be
+ * computed on each server of a region in turn. Copying from another cache costs an eighth of computing.
  */
 export function supplyPrompts(
   view: PrefixCacheView,
@@ -43,18 +43,18 @@
   demand: ModelDemand,
   mayCopy: boolean,
 ): PromptSupplies {
-  const held = new Map(incarnationIds.map((id) => [id, view.cachedTokens(id, demand)]));
-  const isUnknown = [...held.values()].every((tokens) => tokens === 0);
-  const preferred = isUnknown ? view.preferred(incarnationIds, demand) : undefined;
-  if (preferred !== undefined) held.set(preferred, sharedTokens(demand) * PROBABLY_HELD);
-  const holders = [...held].sort(([, left], [, right]) => right - left);
+  const cachedByServer = new Map(incarnationIds.map((id) => [id, view.cachedTokens(id, demand)]));
+  const isCacheUnknown = [...cachedByServer.values()].every((tokens) => tokens === 0);
+  const preferred = isCacheUnknown ? view.preferredServer(incarnationIds, demand) : undefined;
+  if (preferred !== undefined) cachedByServer.set(preferred, sharedTokens(demand) * ASSUMED_SHARE);
+  const ranked = [...cachedByServer].sort(([, left], [, right]) => right - left);
 
   return (incarnationId) => {
-    const cached = held.get(incarnationId) ?? 0;
+    const cached = cachedByServer.get(incarnationId) ?? 0;
     const uncachedTokens = Math.max(0, demand.promptTokens - cached);
-    const [source, most] = holders.find(([id]) => id !== incarnationId) ?? [undefined, 0];
-    const copyableTokens = Math.min(uncachedTokens, most - cached);
-    if (!mayCopy || source === undefined || copyableTokens < FEWEST_COPIED) {
+    const [source, sourceTokens] = ranked.find(([id]) => id !== incarnationId) ?? [undefined, 0];
+    const copyableTokens = Math.min(uncachedTokens, sourceTokens - cached);
+    if (!mayCopy || source === undefined || copyableTokens < MIN_COPIED_TOKENS) {
       return { uncachedTokens, copyableTokens: 0, copyFrom: undefined };
     }
     return { uncachedTokens, copyableTokens, copyFrom: source };
--- a/src/core/placement/return-schedule.ts
+++ b/src/core/placement/return-schedule.ts
@@ -1,60 +1,66 @@
-/** Says when callers that are refused are to come back. */
+/** Computes when refused callers should retry. */
 export interface ReturnSchedule {
-  /** Notes that a request of this kind was let in. */
+  /** Records that a request of this kind was admitted. */
   noteAdmitted(kind: string, nowMs: number): void;
-  /** Time after which a refused request of this kind is to come back, ms. */
-  nextReturnMs(kind: string, leastMs: number, nowMs: number): number;
+  /** Returns the delay after which a refused request of this kind should be retried, ms. */
+  nextReturnMs(kind: string, minDelayMs: number, nowMs: number): number;
 }
 
-interface KindReturns {
-  /** Mean time between two requests that are let in, ms. */
-  gapMs: number;
+interface KindSchedule {
+  /** Mean interval between two admitted requests, ms. */
+  meanIntervalMs: number;
   lastAdmittedAtMs: number | undefined;
-  /** When the last of those that were refused comes back, monotonic ms. */
-  lastReturnAtMs: number;
+  /** Latest scheduled retry of a refused request, monotonic ms. */
+  lastRetryAtMs: number;
 }
 
-/** Weight of the newest gap; some ten requests decide, so that the rate follows a burst within a second. */
-const NEWEST_WEIGHT = 0.1;
-/** Gap until two requests were let in, ms: some twenty a second, what a handful of servers bears. */
-const FIRST_GAP_MS = 50;
-/** A longer pause says that nobody asked, not that nobody was let in, ms. */
-const LONGEST_GAP_MS = 500;
+/**
+ * Weight of the newest interval in a moving average over about ten requests, which follows a burst within a second.
+ */
+const NEWEST_SAMPLE_WEIGHT = 0.1;
+/** Interval assumed until two requests have been admitted, ms: 20 requests/s, the capacity of a few servers. */
+const INITIAL_INTERVAL_MS = 50;
+/** Upper bound of a measured interval, ms: a longer one means that no request arrived, not that none was admitted. */
+const MAX_INTERVAL_MS = 500;
 
 /**
- * A schedule that has refused nobody.
+ * Creates an empty schedule.
  *
- * Answers a burst that is refused. If each caller is told the same time, the burst comes back whole and is
- * refused again; most callers then give up for good although the servers have room a moment later. One notices
- * refusals in waves, with idle servers between them. So each refusal takes the next place in line: callers come
- * back in the order in which they were refused, no faster than requests of their kind were let in lately.
+ * If all callers of a refused burst got the same delay, they would retry together and be refused again. Refusals would
+ * come in waves with idle servers between them, and most callers would give up although servers have capacity a moment
+ * later. So each refusal is scheduled after the previous one: callers retry in the order of their refusals, no faster
+ * than requests of their kind have recently been admitted.
  */
-export function createReturnSchedule(longestMs: number): ReturnSchedule {
-  const kinds = new Map<string, KindReturns>();
+export function createReturnSchedule(maxDelayMs: number): ReturnSchedule {
+  const kinds = new Map<string, KindSchedule>();
 
-  const at = (kind: string): KindReturns => {
-    const known = kinds.get(kind);
-    if (known !== undefined) return known;
-    const fresh = { gapMs: FIRST_GAP_MS, lastAdmittedAtMs: undefined, lastReturnAtMs: 0 };
-    kinds.set(kind, fresh);
-    return fresh;
+  const scheduleOf = (kind: string): KindSchedule => {
+    const existing = kinds.get(kind);
+    if (existing !== undefined) return existing;
+    const created = {
+      meanIntervalMs: INITIAL_INTERVAL_MS,
+      lastAdmittedAtMs: undefined,
+      lastRetryAtMs: 0,
+    };
+    kinds.set(kind, created);
+    return created;
   };
 
   return {
     noteAdmitted(kind, nowMs) {
-      const returns = at(kind);
-      if (returns.lastAdmittedAtMs !== undefined) {
-        const gapMs = Math.min(LONGEST_GAP_MS, nowMs - returns.lastAdmittedAtMs);
-        returns.gapMs += (gapMs - returns.gapMs) * NEWEST_WEIGHT;
+      const schedule = scheduleOf(kind);
+      if (schedule.lastAdmittedAtMs !== undefined) {
+        const intervalMs = Math.min(MAX_INTERVAL_MS, nowMs - schedule.lastAdmittedAtMs);
+        schedule.meanIntervalMs += (intervalMs - schedule.meanIntervalMs) * NEWEST_SAMPLE_WEIGHT;
       }
-      returns.lastAdmittedAtMs = nowMs;
+      schedule.lastAdmittedAtMs = nowMs;
     },
-    nextReturnMs(kind, leastMs, nowMs) {
-      const returns = at(kind);
-      const inLineAtMs = returns.lastReturnAtMs + returns.gapMs;
-      const atMs = Math.min(nowMs + longestMs, Math.max(nowMs + leastMs, inLineAtMs));
-      returns.lastReturnAtMs = atMs;
-      return atMs - nowMs;
+    nextReturnMs(kind, minDelayMs, nowMs) {
+      const schedule = scheduleOf(kind);
+      const nextAtMs = schedule.lastRetryAtMs + schedule.meanIntervalMs;
+      const retryAtMs = Math.min(nowMs + maxDelayMs, Math.max(nowMs + minDelayMs, nextAtMs));
+      schedule.lastRetryAtMs = retryAtMs;
+      return retryAtMs - nowMs;
     },
   };
 }
--- a/src/core/placement/sample-servers.test.ts
+++ b/src/core/placement/sample-servers.test.ts
@@ -3,7 +3,7 @@
 import { createSeededRandom } from '../random';
 import { countToLookAt, sampleServers } from './sample-servers';
 
-describe('the number of servers that a choice looks at', () => {
+describe('the sample size', () => {
   const cases = [
     { servers: 1, instances: 1, count: 3 },
     { servers: 40, instances: 1, count: 40 },
@@ -13,7 +13,7 @@
     { servers: 8, instances: 0, count: 8 },
   ];
   for (const { servers, instances, count } of cases) {
-    it(`is ${count} for one of ${instances} instances before ${servers} servers`, () => {
+    it(`is ${count} for one of ${instances} instances with ${servers} servers`, () => {
       assert.equal(countToLookAt(servers, instances), count);
     });
   }
@@ -28,7 +28,7 @@
     { count: 9, size: 5 },
   ];
   for (const { count, size } of cases) {
-    it(`of ${count} of five holds ${size}, none twice`, () => {
+    it(`of ${count} of five servers has ${size} distinct servers`, () => {
       const sample = sampleServers(servers, count, createSeededRandom(1).next);
       assert.equal(sample.length, size);
       assert.equal(new Set(sample).size, size);
@@ -36,7 +36,7 @@
     });
   }
 
-  it('holds each server about as often as any other', () => {
+  it('contains each server about equally often', () => {
     const random = createSeededRandom(1);
     const counts = new Map(servers.map((server) => [server, 0]));
     for (let drawn = 0; drawn < 5_000; drawn += 1) {
--- a/src/core/placement/sample-servers.ts
+++ b/src/core/placement/sample-servers.ts
@@ -1,30 +1,32 @@
 /**
- * Draws the servers that one choice looks at.
+ * Random sampling of the servers that are evaluated for one request.
  *
- * Answers many instances that choose among the same servers within the time in which they learn of one another's work.
- * Each of them knows the same, so all find the same server best: prompts pile up there beside servers that read nothing,
- * the more the more instances there are. The best of a few drawn ones is nearly as good as the best of all and is another
- * one for each choice.
+ * Instances learn of each other's load with a delay. Until then all of them have the same data and would select the
+ * same server: prompts queue there while other servers are idle, and more so the more instances there are. The best
+ * server of a small random sample is nearly as good as the best of all, and differs from request to request.
  */
 
-/** Servers that are looked at: with two, a bad pair is drawn too often; with many, all instances agree again. */
-const LEAST_LOOKED_AT = 3;
+/**
+ * Minimum number of sampled servers: with two, samples often contain only bad servers. With many, all instances would
+ * select the same server again.
+ */
+const MIN_SAMPLE_SIZE = 3;
 
-/** How many of `servers` one of so many `instances` looks at; all of them where it is alone. */
-export function countToLookAt(servers: number, instances: number): number {
-  return Math.max(LEAST_LOOKED_AT, Math.ceil(servers / Math.max(1, instances)));
+/** Returns how many of the servers an instance evaluates per request; all of them if it is the only instance. */
+export function countToLookAt(serverCount: number, instanceCount: number): number {
+  return Math.max(MIN_SAMPLE_SIZE, Math.ceil(serverCount / Math.max(1, instanceCount)));
 }
 
-/** Some `count` of the servers, each as likely as any other; all where there are no more. */
+/** Returns a uniform random sample of `count` servers, or all of them if there are no more than that. */
 export function sampleServers<Server>(
   servers: readonly Server[],
   count: number,
-  draw: () => number,
+  random: () => number,
 ): readonly Server[] {
-  const left = [...servers];
+  const remaining = [...servers];
   const sample: Server[] = [];
-  while (sample.length < count && left.length > 0) {
-    const [drawn] = left.splice(Math.floor(draw() * left.length), 1);
+  while (sample.length < count && remaining.length > 0) {
+    const [drawn] = remaining.splice(Math.floor(random() * remaining.length), 1);
     if (drawn !== undefined) sample.push(drawn);
   }
   return sample;
--- a/src/core/placement/server-load.ts
+++ b/src/core/placement/server-load.ts
@@ -1,131 +1,137 @@
 import type { LoadReport } from './types';
 
-/** What this instance has seen of one server. */
+/** Load and health of one server, as observed by this instance. */
 export interface ServerLoad {
-  /** Requests from here that are open there. */
+  /** Open requests that this instance has sent to the server. */
   ownInFlight: number;
-  /** Requests of other instances, as of the last report. */
+  /** Open requests of other instances, according to the server's last report. */
   othersInFlight: number;
   reportedAtMs: number;
-  /** Prompt tokens sent from here without a first byte yet. */
+  /** Prompt tokens of this instance's requests that still wait for their first byte. */
   pendingTokens: number;
-  /** Requests from here that wait for their first byte. */
-  awaiting: number;
-  /** When a byte last came from it, or when the first of those that wait was sent. */
-  lastHeardAtMs: number;
-  /** Part of the requests that failed lately, from 0 to 1. */
+  /** Requests of this instance that wait for their first byte. */
+  awaitingFirstByte: number;
+  /** Time of the last byte received, or of sending the first of the waiting requests if that is later. */
+  lastByteAtMs: number;
+  /** Recent share of failed requests, from 0 to 1. */
   failureShare: number;
-  /** By how much first bytes came later than predicted lately, ms. */
+  /** Recent average by which first bytes arrived later than predicted, ms. */
   latenessMs: number;
-  /** Until when no new connection is tried after one could not be made. */
-  blockedUntilMs: number;
-  connectFailures: number;
+  /** End of the backoff after a failed connection. */
+  backoffUntilMs: number;
+  consecutiveConnectFailures: number;
   decayedAtMs: number;
 }
 
-/** Keeps what is seen of servers. */
+/** Tracks the load and health of servers. */
 export interface ServerLoads {
+  /** Records that a request is sent, `tokens` of whose prompt the server has to compute. */
   noteSent(incarnationId: string, tokens: number, nowMs: number): void;
+  /** Records that any byte of a response was received. */
   noteHeard(incarnationId: string, nowMs: number): void;
-  /** The first byte came. */
-  noteFirstByte(incarnationId: string, seen: FirstByte, nowMs: number): void;
-  /** The request is over, whatever became of it. */
+  /** Records the first byte of a response. */
+  noteFirstByte(incarnationId: string, timing: FirstByteTiming, nowMs: number): void;
+  /** Records the end of a request, whatever its outcome. */
   noteEnded(incarnationId: string, ended: EndedRequest, nowMs: number): void;
-  /** A server's own report, which counts the requests of all instances. */
+  /** Records a server's own report, which counts the requests of all instances. */
   noteReport(incarnationId: string, report: LoadReport, nowMs: number): void;
-  /** No connection to it could be made. */
+  /** Records that a connection to the server failed. */
   noteUnreachable(incarnationId: string, nowMs: number): void;
-  /** Requests running and waiting there, of all instances together, as estimated. */
+  /** Returns the estimated number of running and waiting requests of all instances. */
   load(incarnationId: string, nowMs: number): number;
   pendingTokens(incarnationId: string): number;
   ownInFlight(incarnationId: string): number;
-  /** Time by which silence and slowness there will probably delay a first byte, ms. */
+  /** Returns the delay of a first byte that is expected from recent silence and lateness, ms. */
   delayMs(incarnationId: string, nowMs: number): number;
-  /** Part of the requests there that failed lately, from 0 to 1. */
+  /** Returns the recent share of failed requests, from 0 to 1. */
   failureShare(incarnationId: string, nowMs: number): number;
+  /** Whether the server is in backoff after a failed connection. */
   isBlocked(incarnationId: string, nowMs: number): boolean;
-  /** Time since anything came from a server that owes first bytes, ms; 0 where it owes none. */
+  /** Returns the time since the server's last byte, ms; 0 if no request waits for its first byte. */
   silentMs(incarnationId: string, nowMs: number): number;
   totalInFlight(): number;
-  /** What is under way from here, server by server. */
-  ownWork(): readonly OwnWork[];
+  /** Returns the open requests of this instance, per server. */
+  ownWork(): readonly OwnServerLoad[];
   keepOnly(incarnationIds: ReadonlySet<string>): void;
 }
 
-/** What is under way from here at one server. */
-export interface OwnWork {
+/** Open requests of this instance at one server. */
+export interface OwnServerLoad {
   readonly incarnationId: string;
   readonly inFlight: number;
   readonly pendingTokens: number;
 }
 
-/** What a first byte shows. */
-export interface FirstByte {
+/** Predicted and actual time to a first byte. */
+export interface FirstByteTiming {
   readonly tokens: number;
   readonly predictedMs: number;
   readonly actualMs: number;
 }
 
-/** How a request ended. */
+/** Outcome of a request. */
 export interface EndedRequest {
-  /** Whether its first byte had come. */
+  /** Whether its first byte had been received. */
   readonly hadFirstByte: boolean;
   readonly tokens: number;
-  /** Undefined where the end says nothing about the server, as when a caller leaves. */
+  /** Undefined if the end says nothing about the server, for example if the caller disconnected. */
   readonly isFailure: boolean | undefined;
 }
 
-/** Weight of the newest sample; about eight requests decide. */
-const NEWEST_WEIGHT = 0.125;
-/** Time in which what is known of failures and slowness halves, so that a server that recovers is tried again. */
-const HALF_LIFE_MS = 3_000;
-/** Time in which a report of others' requests halves: an answer takes about that long. */
+/** Weight of the newest sample in a moving average over about eight requests. */
+const NEWEST_SAMPLE_WEIGHT = 0.125;
+/** Half-life of the failure share and the lateness, ms, so that a recovered server is tried again. */
+const HEALTH_HALF_LIFE_MS = 3_000;
+/** Half-life of the reported requests of other instances, ms: about the duration of an answer. */
 const REPORT_HALF_LIFE_MS = 2_000;
-/** Silence that is no sign of trouble: a long prompt may hold up a batch for so long, ms. */
-const SILENCE_ALLOWED_MS = 500;
-/** Rest after a connection that could not be made; doubles with each in a row, since most servers come back within seconds. */
-const FIRST_BLOCK_MS = 250;
-const LONGEST_BLOCK_MS = 2_000;
-/** Lateness above this says no more. */
-const MOST_LATENESS_MS = 3_000;
+/** Maximum silence that is normal, ms: a long prompt may delay a batch for that long. */
+const MAX_NORMAL_SILENCE_MS = 500;
+/**
+ * Backoff after a failed connection, ms; doubles with each further failure. Most servers are reachable again within
+ * seconds.
+ */
+const INITIAL_BACKOFF_MS = 250;
+const MAX_BACKOFF_MS = 2_000;
+/** Upper bound of a recorded lateness, ms; higher values carry no more information. */
+const MAX_LATENESS_MS = 3_000;
 
-function newLoad(nowMs: number): ServerLoad {
+function createServerLoad(nowMs: number): ServerLoad {
   return {
     ownInFlight: 0,
     othersInFlight: 0,
     reportedAtMs: nowMs,
     pendingTokens: 0,
-    awaiting: 0,
-    lastHeardAtMs: nowMs,
+    awaitingFirstByte: 0,
+    lastByteAtMs: nowMs,
     failureShare: 0,
     latenessMs: 0,
-    blockedUntilMs: 0,
-    connectFailures: 0,
+    backoffUntilMs: 0,
+    consecutiveConnectFailures: 0,
     decayedAtMs: nowMs,
   };
 }
 
-/** Nothing seen yet. */
+/** Creates a tracker without any data. */
 export function createServerLoads(): ServerLoads {
   const loads = new Map<string, ServerLoad>();
   let total = 0;
 
-  const at = (incarnationId: string, nowMs: number): ServerLoad => {
+  const loadOf = (incarnationId: string, nowMs: number): ServerLoad => {
     let load = loads.get(incarnationId);
     if (load === undefined) {
-      load = newLoad(nowMs);
+      load = createServerLoad(nowMs);
       loads.set(incarnationId, load);
     }
     return load;
   };
 
-  /** What is left of a figure of the last decay. */
-  const left = (load: ServerLoad, nowMs: number): number =>
-    0.5 ** (Math.max(0, nowMs - load.decayedAtMs) / HALF_LIFE_MS);
+  /** Returns the factor by which values have decayed since they were last updated. */
+  const decayFactor = (load: ServerLoad, nowMs: number): number =>
+    0.5 ** (Math.max(0, nowMs - load.decayedAtMs) / HEALTH_HALF_LIFE_MS);
 
-  const decayed = (incarnationId: string, nowMs: number): ServerLoad => {
-    const load = at(incarnationId, nowMs);
-    const factor = left(load, nowMs);
+  const decay = (incarnationId: string, nowMs: number): ServerLoad => {
+    const load = loadOf(incarnationId, nowMs);
+    const factor = decayFactor(load, nowMs);
     load.failureShare *= factor;
     load.latenessMs *= factor;
     load.decayedAtMs = nowMs;
@@ -134,54 +140,57 @@
 
   const silentMs = (incarnationId: string, nowMs: number): number => {
     const load = loads.get(incarnationId);
-    return load === undefined || load.awaiting === 0 ? 0 : nowMs - load.lastHeardAtMs;
+    return load === undefined || load.awaitingFirstByte === 0 ? 0 : nowMs - load.lastByteAtMs;
   };
 
   return {
     noteSent(incarnationId, tokens, nowMs) {
-      const load = at(incarnationId, nowMs);
-      if (load.awaiting === 0) load.lastHeardAtMs = Math.max(load.lastHeardAtMs, nowMs);
+      const load = loadOf(incarnationId, nowMs);
+      if (load.awaitingFirstByte === 0) load.lastByteAtMs = Math.max(load.lastByteAtMs, nowMs);
       load.ownInFlight += 1;
-      load.awaiting += 1;
+      load.awaitingFirstByte += 1;
       load.pendingTokens += tokens;
       total += 1;
     },
     noteHeard(incarnationId, nowMs) {
-      at(incarnationId, nowMs).lastHeardAtMs = nowMs;
+      loadOf(incarnationId, nowMs).lastByteAtMs = nowMs;
     },
     noteFirstByte(incarnationId, { tokens, predictedMs, actualMs }, nowMs) {
-      const load = decayed(incarnationId, nowMs);
-      load.awaiting -= 1;
+      const load = decay(incarnationId, nowMs);
+      load.awaitingFirstByte -= 1;
       load.pendingTokens -= tokens;
-      load.lastHeardAtMs = nowMs;
-      load.connectFailures = 0;
-      const lateMs = Math.min(MOST_LATENESS_MS, Math.max(0, actualMs - predictedMs));
-      load.latenessMs += (lateMs - load.latenessMs) * NEWEST_WEIGHT;
+      load.lastByteAtMs = nowMs;
+      load.consecutiveConnectFailures = 0;
+      const lateMs = Math.min(MAX_LATENESS_MS, Math.max(0, actualMs - predictedMs));
+      load.latenessMs += (lateMs - load.latenessMs) * NEWEST_SAMPLE_WEIGHT;
     },
     noteEnded(incarnationId, { hadFirstByte, tokens, isFailure }, nowMs) {
-      const load = at(incarnationId, nowMs);
+      const load = loadOf(incarnationId, nowMs);
       load.ownInFlight -= 1;
       total -= 1;
       if (!hadFirstByte) {
-        load.awaiting -= 1;
+        load.awaitingFirstByte -= 1;
         load.pendingTokens -= tokens;
       }
       if (isFailure === undefined) return;
-      const { failureShare } = decayed(incarnationId, nowMs);
-      load.failureShare += ((isFailure ? 1 : 0) - failureShare) * NEWEST_WEIGHT;
+      const { failureShare } = decay(incarnationId, nowMs);
+      load.failureShare += ((isFailure ? 1 : 0) - failureShare) * NEWEST_SAMPLE_WEIGHT;
     },
     noteReport(incarnationId, { running, waiting }, nowMs) {
-      const load = at(incarnationId, nowMs);
+      const load = loadOf(incarnationId, nowMs);
       load.othersInFlight = Math.max(0, running + waiting - load.ownInFlight);
       load.reportedAtMs = nowMs;
     },
     noteUnreachable(incarnationId, nowMs) {
-      const load = at(incarnationId, nowMs);
-      // Requests that were sent together fail together, which says no more than one failure.
-      if (load.blockedUntilMs > nowMs) return;
-      const restMs = Math.min(LONGEST_BLOCK_MS, FIRST_BLOCK_MS * 2 ** load.connectFailures);
-      load.blockedUntilMs = nowMs + restMs;
-      load.connectFailures += 1;
+      const load = loadOf(incarnationId, nowMs);
+      // Requests that were sent together fail together; they count as one failure.
+      if (load.backoffUntilMs > nowMs) return;
+      const backoffMs = Math.min(
+        MAX_BACKOFF_MS,
+        INITIAL_BACKOFF_MS * 2 ** load.consecutiveConnectFailures,
+      );
+      load.backoffUntilMs = nowMs + backoffMs;
+      load.consecutiveConnectFailures += 1;
     },
     load(incarnationId, nowMs) {
       const load = loads.get(incarnationId);
@@ -194,14 +203,14 @@
     delayMs(incarnationId, nowMs) {
       const load = loads.get(incarnationId);
       if (load === undefined) return 0;
-      const silenceMs = Math.max(0, silentMs(incarnationId, nowMs) - SILENCE_ALLOWED_MS);
-      return load.latenessMs * left(load, nowMs) + silenceMs;
+      const silenceMs = Math.max(0, silentMs(incarnationId, nowMs) - MAX_NORMAL_SILENCE_MS);
+      return load.latenessMs * decayFactor(load, nowMs) + silenceMs;
     },
     failureShare(incarnationId, nowMs) {
       const load = loads.get(incarnationId);
-      return load === undefined ? 0 : load.failureShare * left(load, nowMs);
+      return load === undefined ? 0 : load.failureShare * decayFactor(load, nowMs);
     },
-    isBlocked: (incarnationId, nowMs) => (loads.get(incarnationId)?.blockedUntilMs ?? 0) > nowMs,
+    isBlocked: (incarnationId, nowMs) => (loads.get(incarnationId)?.backoffUntilMs ?? 0) > nowMs,
     silentMs,
     totalInFlight: () => total,
     ownWork: () =>
--- a/src/core/placement/service-paces.ts
+++ b/src/core/placement/service-paces.ts
@@ -1,47 +1,46 @@
-import type { ServicePace } from './types';
+import type { ServiceSpeed } from './types';
 
-/** Learns how fast the servers of each service are. */
+/** Measures how fast the servers of each service are. */
 export interface ServicePaces {
-  pace(service: string): ServicePace;
-  /** A request held its slot for so long. */
+  /** Returns the speed of a service's servers, or a default until it is measured. */
+  pace(service: string): ServiceSpeed;
+  /** Records for how long a request occupied its slot. */
   noteSlotTime(service: string, durationMs: number): void;
-  /** A prompt of so many uncached tokens took so long to its first byte on a server that had room. */
+  /** Records the time to the first byte of a prompt with `tokens` uncached tokens on a server with free slots. */
   notePrefill(service: string, tokens: number, durationMs: number): void;
 }
 
-/** Until something is measured: an accelerator reads some tens of tokens a ms, and an answer takes a second. */
-const FIRST_PACE: ServicePace = { prefillMsPerToken: 0.025, slotTimeMs: 1_000 };
+/** Speed assumed until the first sample: an accelerator prefills some tens of tokens per ms, an answer takes 1 s. */
+const INITIAL_SPEED: ServiceSpeed = { prefillMsPerToken: 0.025, slotTimeMs: 1_000 };
 /** Weight of the newest sample. */
-const NEWEST_WEIGHT = 0.05;
-/** Shorter prompts say little of the pace: fixed costs outweigh them. */
-const FEWEST_TOKENS = 1_000;
-/** Bounds that keep one odd sample from making all prompts look free or hopeless, ms a token. */
-const FASTEST_MS_PER_TOKEN = 0.002;
-const SLOWEST_MS_PER_TOKEN = 0.2;
+const NEWEST_SAMPLE_WEIGHT = 0.05;
+/** Minimum prompt length of a sample: fixed costs dominate the time of shorter prompts. */
+const MIN_SAMPLE_TOKENS = 1_000;
+/** Bounds of a sample, ms/token, so that one outlier does not make all prompts look free or unservable. */
+const MIN_MS_PER_TOKEN = 0.002;
+const MAX_MS_PER_TOKEN = 0.2;
 
-/** Paces that start from rough figures. */
+/** Creates measurements that start from rough defaults. */
 export function createServicePaces(): ServicePaces {
-  const paces = new Map<string, ServicePace>();
-  const pace = (service: string) => paces.get(service) ?? FIRST_PACE;
-  const blend = (before: number, sample: number) => before + (sample - before) * NEWEST_WEIGHT;
+  const speeds = new Map<string, ServiceSpeed>();
+  const pace = (service: string) => speeds.get(service) ?? INITIAL_SPEED;
+  const blend = (average: number, sample: number) =>
+    average + (sample - average) * NEWEST_SAMPLE_WEIGHT;
   return {
     pace,
     noteSlotTime(service, durationMs) {
-      const before = pace(service);
-      const isFirst = !paces.has(service);
-      const slotTimeMs = isFirst ? durationMs : blend(before.slotTimeMs, durationMs);
-      paces.set(service, { ...before, slotTimeMs });
+      const current = pace(service);
+      const isFirst = !speeds.has(service);
+      const slotTimeMs = isFirst ? durationMs : blend(current.slotTimeMs, durationMs);
+      speeds.set(service, { ...current, slotTimeMs });
     },
     notePrefill(service, tokens, durationMs) {
-      if (tokens < FEWEST_TOKENS) return;
-      const before = pace(service);
-      const sample = Math.min(
-        SLOWEST_MS_PER_TOKEN,
-        Math.max(FASTEST_MS_PER_TOKEN, durationMs / tokens),
-      );
-      paces.set(service, {
-        ...before,
-        prefillMsPerToken: blend(before.prefillMsPerToken, sample),
+      if (tokens < MIN_SAMPLE_TOKENS) return;
+      const current = pace(service);
+      const sample = Math.min(MAX_MS_PER_TOKEN, Math.max(MIN_MS_PER_TOKEN, durationMs / tokens));
+      speeds.set(service, {
+        ...current,
+        prefillMsPerToken: blend(current.prefillMsPerToken, sample),
       });
     },
   };
--- a/src/core/placement/size-admission.ts
+++ b/src/core/placement/size-admission.ts
@@ -1,28 +1,30 @@
-/** A request whose first byte is predicted too late. */
+/** A request whose first byte is predicted to miss the latency objective. */
 export interface LateRequest {
-  /** Requests that servers treat alike. */
+  /** Key of requests that servers treat alike. */
   readonly kind: string;
-  /** Time to its first byte, and the part of it in which its own prompt is read, ms. */
+  /** Predicted time to its first byte, ms. */
   readonly predictedMs: number;
+  /** Part of the predicted time that the prefill of its own prompt takes, ms. */
   readonly ownReadMs: number;
   readonly objectiveMs: number;
 }
 
-/** Sees to it that long prompts are let in about as often as short ones. */
+/** Decides which late requests are admitted, so that long prompts are not refused far more often than short ones. */
 export interface SizeAdmission {
-  /** Notes that a request is predicted in time, and the time in which its own prompt is read, ms. */
+  /** Records a request that is predicted to meet its objective, and the prefill time of its own prompt, ms. */
   noteInTime(kind: string, ownReadMs: number): void;
-  /** Whether a request that is predicted late is let in all the same, since only its own size makes it late. */
+  /** Whether a request that is predicted late is admitted anyway, because only its own size makes it late. */
   letsIn(request: LateRequest): boolean;
 }
 
 /**
- * Part of those that are late for their size alone which is let in. Operators hold the largest to half of what the whole
- * is served at; a part of those let in is lost on the way, most of the largest, which take longest.
+ * Probability that a request is admitted if only its own size makes it late. Operators require that the largest
+ * requests are served at least half as often as all; some admitted requests fail later, mostly the largest, which take
+ * longest.
  */
-const LET_IN = 0.6;
-/** Samples after which the mean follows the newest ones. */
-const MOST_SAMPLES = 100;
+const ADMITTED_SHARE = 0.6;
+/** Number of samples after which the mean becomes a moving average. */
+const MAX_SAMPLES = 100;
 
 interface Mean {
   samples: number;
@@ -30,29 +32,29 @@
 }
 
 /**
- * Admission by size, of which nothing is known yet.
+ * Creates an admission by size without any data.
  *
- * Answers prompts of very different sizes at servers with little room. A request is refused where its first byte is
- * predicted late, and the longest prompt is the first of which that is predicted, whatever its turn. So the largest are
- * refused each time they come back and are never served, while short ones are all day; one notices a share of refusals
- * that grows with the prompt. Where a prompt as long as those that are in time would be in time now, it is its own size
- * that makes a request late, and a drawn part of those is let in. No class of size is learned for that, since an instance
- * of many, or one that has just started, has not seen enough requests to tell large from small.
+ * Requests whose first byte is predicted late are refused. When servers have little capacity, that affects the longest
+ * prompts first, regardless of the order of arrival: the largest are refused at each retry and never served while short
+ * ones always are, so the share of refusals grows with the prompt size. Among requests predicted to be in time, the
+ * mean prefill time is known. If a late request would be in time with that prefill time, only its own size makes it
+ * late, and a random share of such requests is admitted. No size classes are learned, because one instance of many, or
+ * one that has just started, has seen too few requests to tell large from small.
  */
-export function createSizeAdmission(draw: () => number): SizeAdmission {
+export function createSizeAdmission(random: () => number): SizeAdmission {
   const means = new Map<string, Mean>();
 
   return {
     noteInTime(kind, ownReadMs) {
       const mean = means.get(kind) ?? { samples: 0, ms: 0 };
       means.set(kind, mean);
-      mean.samples = Math.min(MOST_SAMPLES, mean.samples + 1);
+      mean.samples = Math.min(MAX_SAMPLES, mean.samples + 1);
       mean.ms += (ownReadMs - mean.ms) / mean.samples;
     },
     letsIn({ kind, predictedMs, ownReadMs, objectiveMs }) {
-      const usualReadMs = Math.min(ownReadMs, means.get(kind)?.ms ?? 0);
-      const isLateForItsSize = predictedMs - ownReadMs + usualReadMs <= objectiveMs;
-      return isLateForItsSize && draw() < LET_IN;
+      const typicalPrefillMs = Math.min(ownReadMs, means.get(kind)?.ms ?? 0);
+      const isLateOnlyForItsSize = predictedMs - ownReadMs + typicalPrefillMs <= objectiveMs;
+      return isLateOnlyForItsSize && random() < ADMITTED_SHARE;
     },
   };
 }
--- a/src/core/placement/spill-windows.ts
+++ b/src/core/placement/spill-windows.ts
@@ -1,133 +1,135 @@
-/** How many requests of a service may wait for their first byte in each other region. */
+/** Limits how many requests of a service may wait for their first byte in each other region. */
 export interface SpillWindows {
+  /** Whether another request may be sent to the region. */
   hasRoom(service: string, region: string): boolean;
-  /** Notes a request that is sent to a region. */
+  /** Records that a request is sent to a region. */
   begin(service: string, region: string): void;
-  /** Notes what came of it first. */
-  end(service: string, region: string, seen: SpillSeen, nowMs: number): void;
+  /** Records the first byte, refusal or end of a request, whichever is first. */
+  end(service: string, region: string, result: SpillSeen, nowMs: number): void;
 }
 
-/** What a request that was sent to another region showed of it. */
+/** Result of a request that was sent to another region. */
 export type SpillSeen =
-  /** Its first byte came after so much of the latency objective; above 1 it was late. */
+  /** The first byte was received after this share of the latency objective; above 1 it was late. */
   | { readonly kind: 'firstByte'; readonly objectiveShare: number }
-  /** The region refused it or failed. */
+  /** The region refused the request or failed. */
   | { readonly kind: 'refused' }
-  /** Nothing, as when the caller left. */
+  /** No information, for example because the caller disconnected. */
   | { readonly kind: 'nothing' };
 
 interface SpillWindow {
   limit: number;
-  open: number;
-  /** Answers that may still open the window: those to what was open when it was last full. */
-  answersToGrowBy: number;
-  /** Whether the region has been too full once, so that the window grows with care. */
-  wasTooFull: boolean;
-  lastCutAtMs: number;
+  /** Requests that wait for their first byte. */
+  waiting: number;
+  /** Number of answers that may still grow the window: as many as requests were waiting when it was last full. */
+  growthCredits: number;
+  /** Whether the region has been saturated before, so that the window grows slowly. */
+  wasSaturated: boolean;
+  lastShrunkAtMs: number;
 }
 
 /**
- * Requests that may wait in a region of which nothing has been seen yet. Some routes are bound to regions other than
- * this one, so that all of their requests leave it: with 2, callers of such routes were refused in the first second
- * after each start. Five instances with 8 each are some 40 requests, which two engines of 64 slots bear.
+ * Requests that may wait in a region without any results yet. Some routes are bound to other regions, so that all their
+ * requests leave this one: with a limit of 2, callers of such routes were refused in the first second after each start.
+ * Five instances with 8 each send 40 requests, which two engines of 64 slots can handle.
  */
-const FIRST_LIMIT = 8;
-/** Lets a region be asked again whatever happened. */
-const LEAST_LIMIT = 2;
-/** Far more than a small instance can hold open. */
-const MOST_LIMIT = 256;
-/** Part of the objective up to which a region has room to spare; a long round trip alone takes a fifth of it. */
-const ROOMY_SHARE = 0.75;
+const INITIAL_LIMIT = 8;
+/** Lower bound of a window, so that a region is tried again after any number of refusals. */
+const MIN_LIMIT = 2;
+/** Upper bound of a window: far more requests than a small instance can keep open. */
+const MAX_LIMIT = 256;
+/** Share of the objective within which a first byte grows the window; a long round trip alone takes a fifth of it. */
+const MAX_OBJECTIVE_SHARE_TO_GROW = 0.75;
 /**
- * Part of the window that is kept when a region is too full. Large prompts are refused first, while the region still
- * has room for small ones; with half of it and a pause, regions were left at a third of what they could read.
+ * Factor by which the window shrinks when a region is saturated. Large prompts are refused first, while the region
+ * still has capacity for small ones; halving the window and pausing left regions at a third of their prefill capacity.
  */
-const KEPT = 0.8;
-/** Refusals within one long round trip speak of one and the same moment of load, ms. */
-const CUT_EVERY_MS = 250;
-/** Growth for each round of answers once a region has been too full: a fifth or so of a usual window. */
-const CAREFUL_GROWTH = 4;
+const SHRINK_FACTOR = 0.8;
+/** Minimum interval between two reductions, ms: refusals within a long round trip result from the same load peak. */
+const MIN_SHRINK_INTERVAL_MS = 250;
+/** Growth per full window of answers once a region has been saturated: about a fifth of a usual window. */
+const SLOW_GROWTH_PER_WINDOW = 4;
 
-/** What was seen says of the region's room. */
-function judge(seen: SpillSeen): 'roomy' | 'even' | 'tooFull' {
-  switch (seen.kind) {
+/** Classifies the capacity of a region by the result of a request. */
+function classify(result: SpillSeen): 'available' | 'neutral' | 'saturated' {
+  switch (result.kind) {
     case 'firstByte':
-      if (seen.objectiveShare > 1) return 'tooFull';
-      return seen.objectiveShare <= ROOMY_SHARE ? 'roomy' : 'even';
+      if (result.objectiveShare > 1) return 'saturated';
+      return result.objectiveShare <= MAX_OBJECTIVE_SHARE_TO_GROW ? 'available' : 'neutral';
     case 'refused':
-      return 'tooFull';
+      return 'saturated';
     case 'nothing':
-      return 'even';
+      return 'neutral';
     default:
-      return seen satisfies never;
+      return result satisfies never;
   }
 }
 
 /**
- * Windows that have seen nothing.
+ * Creates windows in their initial state.
  *
- * Answers a region that loses its servers at once, or that starts again with all its callers waiting. What is
- * known of other regions' load is a second or two old, so each instance would send all of its excess to the one
- * that looked emptiest, refusals would come back after a long round trip, and the same requests would be sent to
- * that region's next instance. One notices waves of refusals by a region that was idle a second before. A window
- * opens as far as first bytes come back in time and closes a little with refusals and late ones. It counts requests
- * until their first byte rather than to their end: streams last for seconds, and a window that waited for their ends
- * would still be small when the trouble is over.
+ * Guards against overloading other regions when a region loses all its servers at once, or restarts with all its
+ * callers waiting. The known load of other regions is one or two seconds old. Each instance would send its entire
+ * excess to the region that seemed least loaded, get refusals after a long round trip, and send the same requests to
+ * that region's next instance: waves of refusals by a region that was idle a second before. A window grows while first
+ * bytes arrive in time, and shrinks a little with refusals and late first bytes. It counts requests until their first
+ * byte instead of their end, because streams last for seconds: a window that waited for their ends would still be small
+ * when the incident is over.
  */
 export function createSpillWindows(): SpillWindows {
   const windows = new Map<string, SpillWindow>();
 
   const windowOf = (service: string, region: string): SpillWindow => {
     const key = `${service}/${region}`;
-    const known = windows.get(key);
-    if (known !== undefined) return known;
-    const fresh: SpillWindow = {
-      limit: FIRST_LIMIT,
-      open: 0,
-      answersToGrowBy: 0,
-      wasTooFull: false,
-      lastCutAtMs: -Infinity,
+    const existing = windows.get(key);
+    if (existing !== undefined) return existing;
+    const created: SpillWindow = {
+      limit: INITIAL_LIMIT,
+      waiting: 0,
+      growthCredits: 0,
+      wasSaturated: false,
+      lastShrunkAtMs: -Infinity,
     };
-    windows.set(key, fresh);
-    return fresh;
+    windows.set(key, created);
+    return created;
   };
 
-  /** The limit after an answer in time. */
-  const grown = ({ limit, wasTooFull }: SpillWindow): number => {
-    const growth = wasTooFull ? Math.min(1, CAREFUL_GROWTH / limit) : 1;
-    return Math.min(MOST_LIMIT, limit + growth);
+  /** Returns the limit after an answer in time. */
+  const grownLimit = ({ limit, wasSaturated }: SpillWindow): number => {
+    const growth = wasSaturated ? Math.min(1, SLOW_GROWTH_PER_WINDOW / limit) : 1;
+    return Math.min(MAX_LIMIT, limit + growth);
   };
 
   return {
     hasRoom(service, region) {
-      const { open, limit } = windowOf(service, region);
-      return open < Math.floor(limit);
+      const { waiting, limit } = windowOf(service, region);
+      return waiting < Math.floor(limit);
     },
     begin(service, region) {
       const window = windowOf(service, region);
-      window.open += 1;
-      if (window.open >= Math.floor(window.limit)) window.answersToGrowBy = window.open;
+      window.waiting += 1;
+      if (window.waiting >= Math.floor(window.limit)) window.growthCredits = window.waiting;
     },
-    end(service, region, seen, nowMs) {
+    end(service, region, result, nowMs) {
       const window = windowOf(service, region);
-      window.open -= 1;
-      const verdict = judge(seen);
-      switch (verdict) {
-        case 'even':
+      window.waiting -= 1;
+      const capacity = classify(result);
+      switch (capacity) {
+        case 'neutral':
           return;
-        case 'roomy':
-          if (window.answersToGrowBy === 0) return;
-          window.answersToGrowBy -= 1;
-          window.limit = grown(window);
+        case 'available':
+          if (window.growthCredits === 0) return;
+          window.growthCredits -= 1;
+          window.limit = grownLimit(window);
           return;
-        case 'tooFull':
-          window.wasTooFull = true;
-          if (nowMs - window.lastCutAtMs < CUT_EVERY_MS) return;
-          window.lastCutAtMs = nowMs;
-          window.limit = Math.max(LEAST_LIMIT, window.limit * KEPT);
+        case 'saturated':
+          window.wasSaturated = true;
+          if (nowMs - window.lastShrunkAtMs < MIN_SHRINK_INTERVAL_MS) return;
+          window.lastShrunkAtMs = nowMs;
+          window.limit = Math.max(MIN_LIMIT, window.limit * SHRINK_FACTOR);
           return;
         default:
-          verdict satisfies never;
+          capacity satisfies never;
       }
     },
   };
--- a/src/core/placement/types.ts
+++ b/src/core/placement/types.ts
@@ -4,9 +4,9 @@
   readonly tokens: number;
 }
 
-/** What a request asks of a model, as far as its headers tell. */
+/** Work that a request requires of a model, according to its headers. */
 export interface ModelDemand {
-  /** Parts in order; the last one belongs to the request itself. */
+  /** Parts in order; the last one is specific to the request. */
   readonly parts: readonly PromptPart[];
   readonly promptTokens: number;
 }
@@ -18,30 +18,30 @@
   readonly slots: number;
 }
 
-/** One server that a request could be sent to, with what is known of it now. */
+/** A server that a request could be sent to, with its current state. */
 export interface Candidate {
   readonly incarnationId: string;
   readonly slots: number;
-  /** Requests running and waiting there, of all instances together, as estimated. */
+  /** Estimated number of running and waiting requests of all instances. */
   readonly load: number;
-  /** Prompt tokens sent from here that have not brought a first event yet. */
+  /** Prompt tokens of requests at the server that still wait for their first byte. */
   readonly pendingTokens: number;
-  /** Prompt tokens of this request that are not in its cache, as estimated. */
+  /** Estimated prompt tokens of this request that are not in the server's cache. */
   readonly uncachedTokens: number;
-  /** Tokens of those that it can copy from the cache of a neighbour, as estimated. */
+  /** Estimated uncached tokens that the server can copy from the cache of a neighbour. */
   readonly copyableTokens: number;
-  /** Time by which silence and slowness there will probably delay a first byte, ms. */
+  /** Delay of a first byte that is expected from recent silence and lateness of the server, ms. */
   readonly delayMs: number;
-  /** Time that failures there would cost on average, ms; they make a server worse, not slower. */
+  /** Expected time lost to failures of the server, ms; affects the choice, but not the predicted time. */
   readonly failureCostMs: number;
 }
 
-/** How fast the servers of a service are, as measured here. */
-export interface ServicePace {
-  /** Time for one prompt token that is not cached, ms. */
+/** Speed of the servers of a service, as measured by this instance. */
+export interface ServiceSpeed {
+  /** Time to compute one uncached prompt token, ms. */
   readonly prefillMsPerToken: number;
-  /** Time for which a request holds its slot, ms. */
+  /** Time for which a request occupies its slot, ms. */
   readonly slotTimeMs: number;
-  /** Time to copy one prompt token from another cache, ms; undefined where servers cannot. */
+  /** Time to copy one prompt token from another cache, ms; undefined if servers cannot copy. */
   readonly copyMsPerToken?: number | undefined;
 }
--- a/src/core/shared-budget/cold-gate.ts
+++ b/src/core/shared-budget/cold-gate.ts
@@ -1,55 +1,59 @@
 import { rankFor } from '../rendezvous';
 
-/** Whether a cold server may be given a request from here. */
+/** Decides whether this instance may send a request to a cold server. */
 export interface ColdGate {
-  /** Whether this instance is the one that sends to the server, and has not sent too lately. */
+  /**
+   * Whether this instance is the one that sends to the server, and its last request was long enough ago. Always true
+   * for a rate of 0, which means no limit.
+   */
   isOpen(serverId: string, requestsPerSecond: number, nowMs: number): boolean;
-  /** Notes a request to the server. */
+  /** Records a request to the server. */
   noteSent(serverId: string, nowMs: number): void;
+  /** Removes the data of all other servers. */
   keepOnly(serverIds: ReadonlySet<string>): void;
 }
 
 /**
- * Requests that one instance sends in any second at most. Instances that know nothing of one another, as right
- * after all of them lost power, may each take themselves for the one that sends; three of them together then
- * stay within three times what a server bears at an even rate.
+ * Maximum number of requests per second that one instance sends to a cold server. While instances do not know each
+ * other, as right after a power failure of all of them, each may consider itself the sender; three of them together
+ * then stay within three times the rate that a server can handle.
  */
-const MOST_PER_SECOND = 2;
-/** Room for requests that leave evenly and arrive bunched. */
-const JITTER_SHARE = 1.05;
+const MAX_REQUESTS_PER_SECOND_PER_INSTANCE = 2;
+/** Factor on the interval between requests, because requests sent evenly may arrive in bunches. */
+const JITTER_FACTOR = 1.05;
 /**
- * Age of a process before which it sends to no cold server. It has not heard yet who else is there: the first
- * exchanges with other instances take a second or two.
+ * Time after the start of the process during which it sends nothing to cold servers, ms. It does not know the other
+ * instances yet: the first exchanges with them take a second or two.
  */
-const SETTLED_AFTER_MS = 3_000;
+const DISCOVERY_TIME_MS = 3_000;
 const MS_PER_S = 1_000;
 
-/** What the gate is made from. */
+/** Options of a limiter for requests to cold servers. */
 export interface ColdGateOptions {
   readonly selfId: string;
-  /** Monotonic time at which this process started. */
+  /** Start of this process, monotonic ms. */
   readonly startedAtMs: number;
-  /** Instances of this region that may be alive, this one and those under suspicion included. */
+  /** Instances of this region that may be alive, including this one and suspected ones. */
   readonly instancesInRegion: () => readonly string[];
 }
 
 /**
- * Lets one instance of a region send to a cold server, at the rate that it bears.
+ * Allows one instance of a region to send requests to a cold server, at the rate that the server can handle.
  *
- * Answers servers that come back empty into full load: each instance takes the idle server for the best one,
- * together they send far more than it bears, and it crashes again. Instances rank one another by the same
- * hash, so they agree on who sends without a message.
+ * When a server restarts with empty caches under full load, each instance would select the idle server. Together they
+ * would send far more than it can handle, and it would crash again. All instances rank each other by the same hash, so
+ * they agree on the sender without messages.
  */
 export function createColdGate(options: ColdGateOptions): ColdGate {
   const lastSentAtMs = new Map<string, number>();
   return {
     isOpen(serverId, requestsPerSecond, nowMs) {
       if (requestsPerSecond <= 0) return true;
-      if (nowMs - options.startedAtMs < SETTLED_AFTER_MS) return false;
+      if (nowMs - options.startedAtMs < DISCOVERY_TIME_MS) return false;
       if (rankFor(serverId, options.instancesInRegion())[0] !== options.selfId) return false;
-      const perSecond = Math.min(requestsPerSecond, MOST_PER_SECOND);
-      const gapMs = (MS_PER_S / perSecond) * JITTER_SHARE;
-      return nowMs - (lastSentAtMs.get(serverId) ?? -Infinity) >= gapMs;
+      const perSecond = Math.min(requestsPerSecond, MAX_REQUESTS_PER_SECOND_PER_INSTANCE);
+      const intervalMs = (MS_PER_S / perSecond) * JITTER_FACTOR;
+      return nowMs - (lastSentAtMs.get(serverId) ?? -Infinity) >= intervalMs;
     },
     noteSent(serverId, nowMs) {
       lastSentAtMs.set(serverId, nowMs);
--- a/src/core/shared-budget/index.ts
+++ b/src/core/shared-budget/index.ts
@@ -1,4 +1,4 @@
-/** Bounds that all instances keep together without asking one another for each request. */
+/** Limits that hold for all instances together without messages for each request. */
 export { createColdGate } from './cold-gate';
 export type { ColdGate } from './cold-gate';
 export { createRetryAllowance } from './retry-budget';
--- a/src/core/shared-budget/retry-budget.ts
+++ b/src/core/shared-budget/retry-budget.ts
@@ -1,63 +1,63 @@
-/** The bound on repeats that all instances together keep. */
+/** Limit on the retries of all instances together. */
 export interface FleetRetryBudget {
-  /** Repeats per request. */
+  /** Retries per request. */
   readonly ratio: number;
-  /** Repeats allowed beside that, over all instances and one window. */
+  /** Additional retries per window, over all instances. */
   readonly slack: number;
   readonly windowMs: number;
 }
 
-/** What one instance may repeat, per service. */
+/** Retries that one instance may send, per service. */
 export interface RetryAllowance {
-  /** Notes a request of a client. */
+  /** Records a request of a caller. */
   noteRequest(service: string, nowMs: number): void;
-  /** Takes one repeat out of the budget; false where there is none left. */
+  /** Takes one retry from the budget; returns false if none remains. */
   take(service: string, nowMs: number): boolean;
 }
 
-interface Window {
+interface CountingWindow {
   startedAtMs: number;
-  /** Requests and repeats of this window and of the one before. */
+  /** Requests and retries of this window and of the previous one. */
   requests: number;
-  repeats: number;
-  requestsBefore: number;
-  repeatsBefore: number;
+  retries: number;
+  previousRequests: number;
+  previousRetries: number;
 }
 
 /**
- * Part of the fleet's budget that is handed out. A window here and the one in which a server's owner counts
- * begin at different times, so a burst of repeats at the seam may fall into one of theirs.
+ * Share of the fleet's budget that is used. The windows here and those in which a server's owner counts begin at
+ * different times, so the retries of two windows here may fall into one of theirs.
  */
-const SHARE_USED = 0.5;
+const USED_BUDGET_SHARE = 0.5;
 
 /**
- * The share of one instance in a budget that all instances keep together.
+ * Creates one instance's share of the retry budget of all instances.
  *
- * Answers failures that hit many requests at once: each is repeated, the repeats load the servers that are
- * left, and more fail. A bound per instance alone adds up over the fleet; asking one another costs messages
- * for each repeat. The part that goes with requests needs neither, since each instance counts its own, and the
- * fixed part is divided by the number of instances.
+ * When a failure affects many requests at once, each is retried, the retries load the remaining servers, and more
+ * requests fail. A fixed limit per instance would add up over the fleet, and coordination would cost messages for each
+ * retry. Here each instance applies the ratio to its own requests, which needs no messages; the fixed part is divided
+ * by the number of instances.
  */
 export function createRetryAllowance(
   budget: () => FleetRetryBudget,
   instances: () => number,
 ): RetryAllowance {
-  const windows = new Map<string, Window>();
+  const windows = new Map<string, CountingWindow>();
 
-  const windowAt = (service: string, nowMs: number): Window => {
+  const windowAt = (service: string, nowMs: number): CountingWindow => {
     const { windowMs } = budget();
-    const known = windows.get(service);
-    if (known !== undefined && nowMs - known.startedAtMs < windowMs) return known;
-    const isNext = known !== undefined && nowMs - known.startedAtMs < 2 * windowMs;
-    const next: Window = {
-      startedAtMs: isNext ? known.startedAtMs + windowMs : nowMs,
+    const existing = windows.get(service);
+    if (existing !== undefined && nowMs - existing.startedAtMs < windowMs) return existing;
+    const isNext = existing !== undefined && nowMs - existing.startedAtMs < 2 * windowMs;
+    const created: CountingWindow = {
+      startedAtMs: isNext ? existing.startedAtMs + windowMs : nowMs,
       requests: 0,
-      repeats: 0,
-      requestsBefore: isNext ? known.requests : 0,
-      repeatsBefore: isNext ? known.repeats : 0,
+      retries: 0,
+      previousRequests: isNext ? existing.requests : 0,
+      previousRetries: isNext ? existing.retries : 0,
     };
-    windows.set(service, next);
-    return next;
+    windows.set(service, created);
+    return created;
   };
 
   return {
@@ -67,13 +67,13 @@
     take(service, nowMs) {
       const { ratio, slack, windowMs } = budget();
       const window = windowAt(service, nowMs);
-      // What is left of the window before counts less the more of this one has passed.
-      const left = 1 - (nowMs - window.startedAtMs) / windowMs;
-      const requests = window.requests + window.requestsBefore * left;
-      const repeats = window.repeats + window.repeatsBefore * left;
-      const allowed = SHARE_USED * (ratio * requests + slack / Math.max(1, instances()));
-      if (repeats + 1 > allowed) return false;
-      window.repeats += 1;
+      // Counts of the previous window weigh less the more of the current window has passed.
+      const previousWeight = 1 - (nowMs - window.startedAtMs) / windowMs;
+      const requests = window.requests + window.previousRequests * previousWeight;
+      const retries = window.retries + window.previousRetries * previousWeight;
+      const allowed = USED_BUDGET_SHARE * (ratio * requests + slack / Math.max(1, instances()));
+      if (retries + 1 > allowed) return false;
+      window.retries += 1;
       return true;
     },
   };
--- a/src/core/work/index.ts
+++ b/src/core/work/index.ts
@@ -1,4 +1,4 @@
-/** How much work a request probably is, told from its size and without parsing it. */
+/** Estimates the work of a request from its size, without parsing it. */
 export { createOutputEstimator } from './output-estimator';
 export type { OutputEstimator } from './output-estimator';
 export type { EngineDemand, PrefixBlock, WorkEstimate } from './types';
--- a/src/core/work/types.ts
+++ b/src/core/work/types.ts
@@ -1,4 +1,4 @@
-/** A stretch at the start of a prompt that other requests may share. */
+/** Prefix of a prompt that other requests may share. */
 export interface PrefixBlock {
   /** Digest of the prompt from its start to the end of this block. */
   readonly key: string;
@@ -6,23 +6,23 @@
   readonly tokens: number;
 }
 
-/** What can be told of a request to an engine without parsing it. */
+/** Size of a request to an engine, known without parsing it. */
 export interface EngineDemand {
   readonly promptTokens: number;
-  /** Most output that the caller states, or that the service assumes. */
+  /** Maximum number of output tokens, as stated by the caller, or the default of the service. */
   readonly maxOutputTokens: number;
-  /** From the shortest to the longest; empty where nothing is shared or known. */
+  /** Prefixes from the shortest to the longest; empty if none is shared or known. */
   readonly prefixes: readonly PrefixBlock[];
 }
 
-/** How much work a request probably is. */
+/** Estimated work of a request. */
 export interface WorkEstimate {
   readonly promptTokens: number;
-  /** Most output that was stated; 0 for a plain call. */
+  /** Maximum number of output tokens; 0 for a plain call. */
   readonly maxOutputTokens: number;
   readonly outputTokens: number;
-  /** One number to compare requests by: prompt tokens and weighted output tokens; 1 for a plain call. */
+  /** Prompt tokens plus weighted output tokens, to compare requests; 1 for a plain call. */
   readonly units: number;
-  /** From the shortest to the longest; empty where nothing is shared or known. */
+  /** Prefixes from the shortest to the longest; empty if none is shared or known. */
   readonly prefixes: readonly PrefixBlock[];
 }
--- a/src/core/work/units.ts
+++ b/src/core/work/units.ts
@@ -1,21 +1,21 @@
 import type { EngineDemand, WorkEstimate } from './types';
 
 /**
- * Prompt tokens that take an engine as long as one output token.
+ * Weight of an output token: the number of prompt tokens that an engine computes in the same time.
  *
- * Engines compute a prompt many tokens at a time, and output one token a step. An engine that computes
- * 10,000 prompt tokens/s generates some 1,000 tokens/s over its whole batch, hence 10. Without a weight a
- * request for 2,000 tokens of text would count less than one that merely carries a long prompt.
+ * Engines compute many prompt tokens at once, but generate output one token per step. An engine that computes 10,000
+ * prompt tokens/s generates about 1,000 tokens/s over its whole batch, hence 10. Without this weight, a request that
+ * generates 2,000 tokens would count less than one that only has a long prompt.
  */
 export const OUTPUT_TOKEN_WEIGHT = 10;
 
-/** Work of a request to an engine that will probably give `outputTokens`. */
+/** Returns the work of a request to an engine that is expected to generate `outputTokens`. */
 export function engineWork(demand: EngineDemand, outputTokens: number): WorkEstimate {
   const units = demand.promptTokens + OUTPUT_TOKEN_WEIGHT * outputTokens;
   return { ...demand, outputTokens, units: Math.max(1, units) };
 }
 
-/** Work of a call to a plain service: one unit, since nothing tells beforehand how long a call takes. */
+/** Work of a call to a plain service: one unit, since its duration cannot be predicted. */
 export const PLAIN_WORK: WorkEstimate = {
   promptTokens: 0,
   maxOutputTokens: 0,
