--- a/src/core/access/index.ts
+++ b/src/core/access/index.ts
@@ -4,16 +4,16 @@
 
 export { keyDigest } from '../key-digest';
 
-/** Who may come in. */
+/** Authenticates callers by their keys. */
 
 const BEARER = /^Bearer +(\S+)$/i;
 
-/** The key of an `Authorization: Bearer` header, or undefined. */
+/** Returns the key in an `Authorization: Bearer` header; undefined if there is none. */
 export function bearerKey(authorization: string | undefined): string | undefined {
   return authorization === undefined ? undefined : BEARER.exec(authorization)?.[1];
 }
 
-/** Compares two secrets in a time that tells nothing about where they differ. */
+/** Compares two secrets in constant time, so that the time does not reveal where they differ. */
 export function sameSecret(given: string, expected: string): boolean {
   const givenDigest = createHash('sha256').update(given).digest();
   const expectedDigest = createHash('sha256').update(expected).digest();
@@ -21,8 +21,10 @@
 }
 
 /**
- * The caller whose key this is. The look-up goes by digest: how long it takes depends on the digest of
- * what was sent, from which nothing of any key can be learned; the digests are then compared in constant time.
+ * Returns the caller that the key of the header belongs to; undefined if there is none.
+ *
+ * The lookup uses the digest of the key: its duration depends only on the digest of what was sent, which reveals
+ * nothing about any key. The digests are then compared in constant time.
  */
 export function authenticate(
   authorization: string | undefined,
--- a/src/core/account-quotas/account-count.ts
+++ b/src/core/account-quotas/account-count.ts
@@ -1,73 +1,81 @@
 import type { AccountQuota } from '../client-accounts';
-import { refilled, untilPositiveMs, without } from './bucket';
+import { refilled, timeUntilPositiveMs, withdraw } from './bucket';
 import type { Bucket } from './bucket';
 import { regionShares } from './region-shares';
-import type { QuotaStanding, ToldCount } from './types';
+import type { CountReport, QuotaStanding } from './types';
 
-/** What a count says to a request. */
+/** Verdict of a count on a request. */
 export type CountVerdict =
   | { readonly kind: 'granted'; readonly left: number }
   | { readonly kind: 'spent'; readonly retryAfterMs: number; readonly standing: QuotaStanding };
 
-/** Counts what one account spends, at the instance that does so for its region. */
+/** Counts the spending of one account, at the instance that does so for its region. */
 export interface AccountCount {
+  /** Spends a cost if the quota allows it. */
   ask(cost: number, quota: AccountQuota, nowMs: number): CountVerdict;
-  /** Notes what was spent without asking; a negative cost is given back. */
-  noteSpent(cost: number, quota: AccountQuota, nowMs: number): void;
-  /** Takes what another instance counts. */
-  take(told: ToldCount, from: CountTeller, quota: AccountQuota, nowMs: number): void;
-  /** Whether other regions are to be told. */
-  isToBeTold(quota: AccountQuota, nowMs: number): boolean;
-  tell(account: string, quota: AccountQuota, nowMs: number): ToldCount;
-  /** What may be spent now. */
+  /** Records a cost that was spent without asking; a negative cost is a refund. */
+  recordSpent(cost: number, quota: AccountQuota, nowMs: number): void;
+  /** Applies a report on the count of another instance. */
+  receive(report: CountReport, from: CountSender, quota: AccountQuota, nowMs: number): void;
+  /** Returns whether the other counters of the account should receive a report. */
+  isReportDue(quota: AccountQuota, nowMs: number): boolean;
+  /** Returns a report on this count for other instances. */
+  createReport(account: string, quota: AccountQuota, nowMs: number): CountReport;
+  /** Returns the remaining quota that may be spent now. */
   left(quota: AccountQuota, nowMs: number): number;
-  /** When something was last spent here or told. */
+  /** Returns when something was last spent here or reported by another instance. */
   lastUsedAtMs(): number;
 }
 
-/** Who tells of a count. */
-export interface CountTeller {
+/** Instance that sent a report on a count. */
+export interface CountSender {
   readonly instanceId: string;
   readonly region: string;
 }
 
-/** What a count is begun with. */
+/** Options of an account count. */
 export interface AccountCountOptions {
   readonly region: string;
-  /** All regions, this one included. */
+  /** All regions, including this one. */
   readonly regions: readonly string[];
-  /** Part of this region's share that may be spent here: other counters of it may not be reached. */
-  readonly partOfShare: () => number;
+  /** Returns the fraction of this region's share that may be spent here; other counters in it may be unreachable. */
+  readonly shareFraction: () => number;
   readonly nowMs: number;
   readonly countId: number;
-  /** Whether the process has run for long enough to have been told of all that others count. */
+  /** Whether the process has run long enough to have received reports on all counts of others. */
   readonly hasSettled: boolean;
 }
 
 /**
- * Time without word of a region after which only a share of the quota is spent, ms: a few statements, the way between
- * regions and a slow instance. Until then each side of a cut spends all of it.
+ * Time without a report from a region after which only a share of the quota is spent, ms. It allows for a few reports,
+ * the delay between regions and a slow instance. Until then, each side of a network partition spends the full quota.
  */
 export const UNHEARD_AFTER_MS = 700;
-/** Part of the burst that a region may spend before it hears the others; with three regions they may spend somewhat more than all of it. */
-const BURST_UNHEARD = 0.4;
-/** Below this part of what there can be, the others are told: spending that is made up for at once concerns nobody. */
-const TELL_BELOW = 0.75;
-/** Time without spending after which nobody is told any more, ms. */
-const QUIET_AFTER_MS = 5_000;
-/** Time over which spending is averaged, ms. */
-const AVERAGED_MS = 5_000;
-/** Time after which a count has been told of all that others count, ms. */
+/**
+ * Fraction of the burst that a region may spend before it receives reports from the others. Three regions may together
+ * spend somewhat more than the whole burst.
+ */
+const BURST_FRACTION = 0.4;
+/**
+ * Reports are sent while a bucket holds less than this fraction of its capacity. Spending that is refilled at once does
+ * not matter to the others.
+ */
+const REPORT_THRESHOLD = 0.75;
+/** Time without spending after which no more reports are sent, ms. */
+const IDLE_AFTER_MS = 5_000;
+/** Time constant of the moving average of spending, ms. */
+const AVERAGING_TIME_MS = 5_000;
+/** Time after which a count has received reports on all counts of others, ms. */
 const SETTLED_AFTER_MS = 3_000;
-/** Of spending that is heard of after a silence, what the last second has taken still counts; the rest was made up for. */
+/** Of spending reported after a silence, only that of the last second is deducted; the rest has been refilled since. */
 const RECENT_S = 1;
-/** Latest time that a caller is told to come back at, ms. */
-const LONGEST_RETRY_MS = 30_000;
-/** Time after which a region that has just been told has been heard as well, ms. */
-const HEARING_MS = 250;
+/** Maximum retry delay that a caller is given, ms. */
+const MAX_RETRY_MS = 30_000;
+/** Time within which another region replies to a report, ms. */
+const REPLY_DELAY_MS = 250;
 const MS_PER_S = 1_000;
 
-interface OtherCount {
+interface RemoteCount {
   readonly region: string;
   readonly countId: number;
   readonly total: number;
@@ -76,162 +84,170 @@
 }
 
 /**
- * The count of one account.
+ * Creates the count of one account, which holds the account to its quota even if it sends requests through many
+ * instances and regions at once.
  *
- * Answers an account that asks more than its quota, through many instances and regions at once. Nothing is shared, so
- * each region counts at one instance, and those of an account tell one another. While they hear one another they all
- * count one bucket. What a region spends before it hears the others, or while it cannot, is held to a share, and the
- * shares add up to the quota; one would notice the lack of that by a quota that is spent once in each part of a cut.
+ * There is no shared state: one instance per region counts the account, and these counters send reports to one another.
+ * As long as they receive each other's reports, they all count the same bucket. Before a region receives reports from
+ * the others, or while it cannot, its spending is limited to a share, and the shares add up to the quota. Otherwise the
+ * quota would be spent once on each side of a network partition.
  */
 export function createAccountCount(options: AccountCountOptions): AccountCount {
-  const { region, regions, partOfShare, hasSettled } = options;
-  const beganAtMs = options.nowMs;
-  const others = new Map<string, OtherCount>();
-  const heardAtMs = new Map<string, number>();
+  const { region, regions, shareFraction, hasSettled } = options;
+  const startedAtMs = options.nowMs;
+  const remoteCounts = new Map<string, RemoteCount>();
+  const lastReportAtMs = new Map<string, number>();
   let shares = regionShares(regions, new Map());
-  let isFilled = false;
-  /** What is left over all regions, as far as is known here. */
-  let pool: Bucket = { left: 0, atMs: beganAtMs };
-  /** What is left of this region's share. */
-  let share: Bucket = { left: 0, atMs: beganAtMs };
+  let isInitialized = false;
+  /** Remaining quota over all regions, as far as is known here. */
+  let pool: Bucket = { left: 0, atMs: startedAtMs };
+  /** Remaining amount of this region's share. */
+  let share: Bucket = { left: 0, atMs: startedAtMs };
   let total = 0;
   let perSecond = 0;
-  let spentAtMs = -Infinity;
-  let usedAtMs = beganAtMs;
-  let promisedUntilMs = -Infinity;
-  let shareMost = 0;
+  let lastSpentAtMs = -Infinity;
+  let lastUsedAtMs = startedAtMs;
+  let nextRetryAtMs = -Infinity;
+  let shareCapacity = 0;
 
   const ownShare = () => shares.get(region) ?? 1;
-  const burstUnheard = () => (regions.length > 1 ? Math.max(ownShare(), BURST_UNHEARD) : 1);
+  const burstFraction = () => (regions.length > 1 ? Math.max(ownShare(), BURST_FRACTION) : 1);
   const poolRefill = (quota: AccountQuota) => ({ perSecond: quota.perSecond, most: quota.burst });
   const shareRefill = (quota: AccountQuota) => ({
-    perSecond: quota.perSecond * ownShare() * partOfShare(),
-    most: quota.burst * burstUnheard() * partOfShare(),
+    perSecond: quota.perSecond * ownShare() * shareFraction(),
+    most: quota.burst * burstFraction() * shareFraction(),
   });
 
   const refill = (quota: AccountQuota, nowMs: number): void => {
-    if (!isFilled && hasSettled) {
+    if (!isInitialized && hasSettled) {
       pool = { left: quota.burst, atMs: nowMs };
       share = { left: shareRefill(quota).most, atMs: nowMs };
     }
-    isFilled = true;
+    isInitialized = true;
     pool = refilled(pool, poolRefill(quota), nowMs);
     share = refilled(share, shareRefill(quota), nowMs);
-    shareMost = shareRefill(quota).most;
+    shareCapacity = shareRefill(quota).most;
   };
 
-  const isSettled = (nowMs: number): boolean => hasSettled || nowMs - beganAtMs >= SETTLED_AFTER_MS;
+  const isSettled = (nowMs: number): boolean =>
+    hasSettled || nowMs - startedAtMs >= SETTLED_AFTER_MS;
 
-  const averaged = (nowMs: number): number =>
-    perSecond * Math.exp(-Math.max(0, nowMs - spentAtMs) / AVERAGED_MS);
+  const averagePerSecond = (nowMs: number): number =>
+    perSecond * Math.exp(-Math.max(0, nowMs - lastSpentAtMs) / AVERAGING_TIME_MS);
 
   const spend = (cost: number, nowMs: number): void => {
     total += cost;
-    perSecond = averaged(nowMs) + (cost * MS_PER_S) / AVERAGED_MS;
-    spentAtMs = nowMs;
-    usedAtMs = nowMs;
-    pool = without(pool, cost);
-    share = without(share, cost);
-    // Overdrawn without end, while others are heard, it would leave nothing for a cut.
-    share = { ...share, left: Math.max(-shareMost, share.left) };
+    perSecond = averagePerSecond(nowMs) + (cost * MS_PER_S) / AVERAGING_TIME_MS;
+    lastSpentAtMs = nowMs;
+    lastUsedAtMs = nowMs;
+    pool = withdraw(pool, cost);
+    share = withdraw(share, cost);
+    // Without this bound, the share could be overdrawn without limit while reports arrive, and nothing would remain to
+    // be spent during a network partition.
+    share = { ...share, left: Math.max(-shareCapacity, share.left) };
   };
 
   const unheardRegions = (nowMs: number): readonly string[] =>
     regions.filter(
-      (other) => other !== region && nowMs - (heardAtMs.get(other) ?? -Infinity) > UNHEARD_AFTER_MS,
+      (other) =>
+        other !== region && nowMs - (lastReportAtMs.get(other) ?? -Infinity) > UNHEARD_AFTER_MS,
     );
 
-  /** Where others of this region may count as well, what the other regions tell says nothing of those. */
-  const hearsAll = (nowMs: number): boolean =>
-    unheardRegions(nowMs).length === 0 && (regions.length > 1 || partOfShare() === 1);
+  /**
+   * Returns whether all spending is known here, which is so once all other regions have reported lately. Their reports
+   * do not cover other counters of this region. If there is no other region, all spending is known only to the counter
+   * that reaches all instances seen recently and therefore has the whole share.
+   */
+  const knowsAllCounts = (nowMs: number): boolean =>
+    unheardRegions(nowMs).length === 0 && (regions.length > 1 || shareFraction() === 1);
 
-  const leftNow = (nowMs: number): number =>
-    Math.floor(hearsAll(nowMs) ? pool.left : Math.min(pool.left, share.left));
+  const remainingNow = (nowMs: number): number =>
+    Math.floor(knowsAllCounts(nowMs) ? pool.left : Math.min(pool.left, share.left));
 
-  /** Follows what each region uses, for as long as all are heard; in a cut all sides go by what stood before it. */
+  /** Adapts the shares to the usage of each region. During a partition, all sides keep the shares from before it. */
   const updateShares = (nowMs: number): void => {
     if (unheardRegions(nowMs).length > 0) return;
-    const used = new Map([[region, averaged(nowMs)]]);
-    for (const other of others.values()) {
+    const used = new Map([[region, averagePerSecond(nowMs)]]);
+    for (const other of remoteCounts.values()) {
       used.set(other.region, (used.get(other.region) ?? 0) + other.perSecond);
     }
     shares = regionShares(regions, used);
   };
 
-  /** Times to come back follow one another at the rate of refilling, so that not all come at once. */
+  /** Refuses a request. Retry times are spaced at the refill rate, so that callers do not all retry at once. */
   const refuse = (cost: number, quota: AccountQuota, nowMs: number): CountVerdict => {
     const unheard = unheardRegions(nowMs);
-    const isHeld = unheard.length > 0 && pool.left > 0;
-    const bucket = isHeld || share.left < pool.left ? share : pool;
-    const refillOf = bucket === share ? shareRefill(quota) : poolRefill(quota);
-    const waitMs = untilPositiveMs(bucket, refillOf);
+    const isLimitedByShare = unheard.length > 0 && pool.left > 0;
+    const bucket = isLimitedByShare || share.left < pool.left ? share : pool;
+    const bucketRefill = bucket === share ? shareRefill(quota) : poolRefill(quota);
+    const waitMs = timeUntilPositiveMs(bucket, bucketRefill);
     const standing = { left: Math.floor(bucket.left), unheardRegions: unheard };
-    if (isHeld && waitMs > HEARING_MS && spentAtMs > nowMs - UNHEARD_AFTER_MS) {
-      // Whether the others have spent anything is known as soon as they have answered.
-      return { kind: 'spent', retryAfterMs: HEARING_MS, standing };
+    if (isLimitedByShare && waitMs > REPLY_DELAY_MS && lastSpentAtMs > nowMs - UNHEARD_AFTER_MS) {
+      // Retry soon: once the other regions have replied, it is known whether they have spent anything.
+      return { kind: 'spent', retryAfterMs: REPLY_DELAY_MS, standing };
     }
-    const dueAtMs = Math.max(nowMs + waitMs, promisedUntilMs);
-    promisedUntilMs = dueAtMs + (cost * MS_PER_S) / Math.max(1, refillOf.perSecond);
-    const retryAfterMs = Math.min(LONGEST_RETRY_MS, Math.ceil(dueAtMs - nowMs) + 1);
+    const dueAtMs = Math.max(nowMs + waitMs, nextRetryAtMs);
+    nextRetryAtMs = dueAtMs + (cost * MS_PER_S) / Math.max(1, bucketRefill.perSecond);
+    const retryAfterMs = Math.min(MAX_RETRY_MS, Math.ceil(dueAtMs - nowMs) + 1);
     return { kind: 'spent', retryAfterMs, standing };
   };
 
   return {
     ask(cost, quota, nowMs) {
       refill(quota, nowMs);
-      const isAllHeard = hearsAll(nowMs);
-      if (pool.left > 0 && (isAllHeard || share.left > 0)) {
+      const areAllCountsKnown = knowsAllCounts(nowMs);
+      if (pool.left > 0 && (areAllCountsKnown || share.left > 0)) {
         spend(cost, nowMs);
-        return { kind: 'granted', left: leftNow(nowMs) };
+        return { kind: 'granted', left: remainingNow(nowMs) };
       }
       return refuse(cost, quota, nowMs);
     },
-    noteSpent(cost, quota, nowMs) {
+    recordSpent(cost, quota, nowMs) {
       refill(quota, nowMs);
       spend(cost, nowMs);
     },
-    take(told, from, quota, nowMs) {
+    receive(report, from, quota, nowMs) {
       refill(quota, nowMs);
-      usedAtMs = nowMs;
-      const known = others.get(from.instanceId);
-      const before = known?.countId === told.countId ? known : undefined;
-      const spentThere = told.total - (before?.total ?? 0);
-      const hasHeardLately = before !== undefined && nowMs - before.atMs <= UNHEARD_AFTER_MS;
-      const mostSpent = hasHeardLately ? Infinity : told.perSecond * RECENT_S;
-      if (!isSettled(nowMs) && told.isSettled) pool = { left: told.left, atMs: nowMs };
-      else pool = without(pool, Math.min(mostSpent, spentThere));
-      heardAtMs.set(from.region, nowMs);
-      const { total: toldTotal, perSecond: toldPerSecond } = told;
-      others.set(from.instanceId, {
+      lastUsedAtMs = nowMs;
+      const known = remoteCounts.get(from.instanceId);
+      const previous = known?.countId === report.countId ? known : undefined;
+      const spentRemotely = report.total - (previous?.total ?? 0);
+      const isRecent = previous !== undefined && nowMs - previous.atMs <= UNHEARD_AFTER_MS;
+      const maxSpent = isRecent ? Infinity : report.perSecond * RECENT_S;
+      if (!isSettled(nowMs) && report.isSettled) pool = { left: report.left, atMs: nowMs };
+      else pool = withdraw(pool, Math.min(maxSpent, spentRemotely));
+      lastReportAtMs.set(from.region, nowMs);
+      const { total: reportedTotal, perSecond: reportedPerSecond } = report;
+      remoteCounts.set(from.instanceId, {
         region: from.region,
-        countId: told.countId,
-        total: toldTotal,
-        perSecond: toldPerSecond,
+        countId: report.countId,
+        total: reportedTotal,
+        perSecond: reportedPerSecond,
         atMs: nowMs,
       });
       updateShares(nowMs);
     },
-    isToBeTold(quota, nowMs) {
-      if (nowMs - spentAtMs > QUIET_AFTER_MS) return false;
+    isReportDue(quota, nowMs) {
+      if (nowMs - lastSpentAtMs > IDLE_AFTER_MS) return false;
       refill(quota, nowMs);
       const { most } = shareRefill(quota);
-      return share.left < most * TELL_BELOW || pool.left < quota.burst * TELL_BELOW;
+      return share.left < most * REPORT_THRESHOLD || pool.left < quota.burst * REPORT_THRESHOLD;
     },
-    tell(account, quota, nowMs) {
+    createReport(account, quota, nowMs) {
       refill(quota, nowMs);
       return {
         account,
         countId: options.countId,
         total,
-        perSecond: averaged(nowMs),
+        perSecond: averagePerSecond(nowMs),
         left: pool.left,
         isSettled: isSettled(nowMs),
       };
     },
     left(quota, nowMs) {
       refill(quota, nowMs);
-      return leftNow(nowMs);
+      return remainingNow(nowMs);
     },
-    lastUsedAtMs: () => usedAtMs,
+    lastUsedAtMs: () => lastUsedAtMs,
   };
 }
--- a/src/core/account-quotas/account-quotas.test.ts
+++ b/src/core/account-quotas/account-quotas.test.ts
@@ -1,15 +1,19 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { AccountQuota } from '../client-accounts';
-import { QUOTA_REGIONS, drawArrivals, mostGranted, playQuotas } from './testing/quota-fleet';
+import { QUOTA_REGIONS, drawArrivals, maxGranted, playQuotas } from './testing/quota-fleet';
 import type { QuotaFleetOptions } from './testing/quota-fleet';
 
-/** What operators bear of one account in a window, over all instances: a part and an amount above its quota. */
+/**
+ * Overage of one account over all instances that operators tolerate: within a window, it may exceed its quota by a
+ * fraction and a fixed amount.
+ */
 const WINDOW_MS = 8_000;
 const OVERAGE = 0.25;
 const SLACK = 110_000;
-const USUAL_PART = 1 / 1.8;
-const HOT = 7.5;
+/** Usual load of an account, as a fraction of its quota. */
+const USUAL_FRACTION = 1 / 1.8;
+const OVERLOAD_FACTOR = 7.5;
 const SMALL = 'small';
 const LARGE = 'large';
 const RATES: Readonly<Record<string, number>> = { [SMALL]: 29_000, [LARGE]: 300_000 };
@@ -19,47 +23,47 @@
   return { unit: 'tokens', plainCost: 200, perSecond, burst: perSecond };
 }
 
-function bound({ perSecond, burst }: AccountQuota): number {
+function maxGrantedCost({ perSecond, burst }: AccountQuota): number {
   return ((perSecond * WINDOW_MS) / 1_000 + burst) * (1 + OVERAGE) + SLACK;
 }
 
-type Places = (instances: number) => (atMs: number, draw: number) => number;
+type Placement = (instances: number) => (atMs: number, draw: number) => number;
 
-const EVENLY: Places = (instances) => (_atMs, draw) => Math.floor(draw * instances);
-const AT_ONE: Places = () => () => 0;
-/** Requests move from region to region every three seconds. */
-const MOVING: Places = (instances) => (atMs, draw) => {
+const EVENLY: Placement = (instances) => (_atMs, draw) => Math.floor(draw * instances);
+const SINGLE_INSTANCE: Placement = () => () => 0;
+/** Requests move to another region every three seconds. */
+const MOVING: Placement = (instances) => (atMs, draw) => {
   const regions = Math.min(instances, QUOTA_REGIONS.length);
   const inRegion = Math.floor(instances / regions);
   return Math.floor(draw * inRegion) * regions + (Math.floor(atMs / 3_000) % regions);
 };
 
-const PLACES = [
-  { name: 'spread evenly', places: EVENLY },
-  { name: 'all at one instance', places: AT_ONE },
-  { name: 'moving from region to region', places: MOVING },
+const PLACEMENTS = [
+  { name: 'spread evenly', placement: EVENLY },
+  { name: 'all at one instance', placement: SINGLE_INSTANCE },
+  { name: 'moving from region to region', placement: MOVING },
 ];
-/** The largest fleet is played with the small account alone, whose quota is the harder one to hold there. */
+/** The largest fleet is simulated with the small account only, whose quota is the harder one to enforce there. */
 const FLEETS: Readonly<Record<string, readonly number[]>> = {
   [SMALL]: [1, 8, 30, 80, 300],
   [LARGE]: [1, 8, 30, 80],
 };
 const START_MS = 5_000;
 
-function play(
+function simulate(
   account: string,
   timesUsual: number,
-  places: Places,
+  placement: Placement,
   options: Pick<QuotaFleetOptions, 'instances'> & Partial<QuotaFleetOptions>,
 ) {
   const { durationMs = 25_000 } = options;
   const arrivals = drawArrivals(
     {
       account,
-      perSecond: (RATES[account] ?? 0) * USUAL_PART * timesUsual,
+      perSecond: (RATES[account] ?? 0) * USUAL_FRACTION * timesUsual,
       fromMs: START_MS,
       toMs: durationMs - 1_000,
-      at: places(options.instances),
+      at: placement(options.instances),
     },
     options.seed ?? 1,
   );
@@ -67,9 +71,9 @@
 }
 
 function assertInBound(outcomes: ReturnType<typeof playQuotas>, account: string): void {
-  const granted = mostGranted(outcomes, account, WINDOW_MS);
-  const most = bound(quotaOf(account));
-  assert.ok(granted <= most, `${Math.round(granted)} of ${Math.round(most)}`);
+  const granted = maxGranted(outcomes, account, WINDOW_MS);
+  const limit = maxGrantedCost(quotaOf(account));
+  assert.ok(granted <= limit, `${Math.round(granted)} of ${Math.round(limit)}`);
 }
 
 function refusedShare(outcomes: ReturnType<typeof playQuotas>): number {
@@ -77,15 +81,15 @@
   return refused.length / Math.max(1, outcomes.length);
 }
 
-/** Guards against an account that gets its quota once at each instance, or in each region. */
-describe('an account that asks many times its usual, from silence', () => {
+/** Guards against granting the quota of an account once per instance or once per region. */
+describe('an account that sends many times its usual load after a silence', () => {
   for (const account of [SMALL, LARGE]) {
     for (const instances of FLEETS[account] ?? []) {
-      for (const { name, places } of PLACES) {
-        it(`keeps to its quota, ${account}, ${name}, at ${instances} instances`, () => {
-          const outcomes = play(account, HOT, places, { instances });
+      for (const { name, placement } of PLACEMENTS) {
+        it(`is held to its quota, ${account}, ${name}, at ${instances} instances`, () => {
+          const outcomes = simulate(account, OVERLOAD_FACTOR, placement, { instances });
           assertInBound(outcomes, account);
-          // What it may have, it gets.
+          // At least 80 % of the quota is granted.
           const spent = outcomes.filter(({ kind }) => kind === 'granted');
           const total = spent.reduce((sum, { cost }) => sum + cost, 0);
           assert.ok(total >= 0.8 * 19 * (RATES[account] ?? 0), `${total} in 19 s`);
@@ -95,14 +99,17 @@
   }
 });
 
-/** Guards against refusals of accounts that have done nothing to deserve them. */
-describe('an account inside its quota', () => {
+/** Guards against refusing requests of accounts that stay within their quotas. */
+describe('an account within its quota', () => {
   for (const account of [SMALL, LARGE]) {
     for (const instances of FLEETS[account] ?? []) {
-      for (const { name, places } of PLACES) {
+      for (const { name, placement } of PLACEMENTS) {
         it(`is never refused, ${account}, ${name}, at ${instances} instances`, () => {
-          // A prompt of more than a second of a small account's quota spends what the next ones would have had.
-          const outcomes = play(account, account === SMALL ? 0.75 : 1, places, { instances });
+          // One prompt may cost more than a second of the small account's quota. Close to the full rate, the next
+          // requests would then be refused.
+          const outcomes = simulate(account, account === SMALL ? 0.75 : 1, placement, {
+            instances,
+          });
           assert.ok(outcomes.length > 20);
           assert.equal(refusedShare(outcomes), 0);
         });
@@ -111,11 +118,11 @@
   }
 });
 
-/** Guards against a burst that each instance takes for the first request after a silence. */
+/** Guards against granting a burst once per instance, where each sees its first request after a silence. */
 describe('a burst at all instances within 100 ms', () => {
   for (const account of [SMALL, LARGE]) {
     for (const instances of FLEETS[account] ?? []) {
-      it(`keeps to the quota, ${account}, at ${instances} instances`, () => {
+      it(`is held to the quota, ${account}, at ${instances} instances`, () => {
         const count = account === SMALL ? 300 : 3_000;
         const arrivals = Array.from({ length: count }, (_unused, index) => ({
           atMs: START_MS + (index * 100) / count,
@@ -131,11 +138,11 @@
   }
 });
 
-/** Guards against instances that go by an old word while all of them are asked at once. */
-describe('a burst at all instances that follows calm requests', () => {
+/** Guards against instances that all grant requests from an outdated standing at the same time. */
+describe('a burst at all instances after requests at the usual rate', () => {
   for (const account of [SMALL, LARGE]) {
     for (const instances of FLEETS[account] ?? []) {
-      it(`keeps to the quota, ${account}, at ${instances} instances`, () => {
+      it(`is held to the quota, ${account}, at ${instances} instances`, () => {
         const count = account === SMALL ? 300 : 3_000;
         const atMs = START_MS + 6_000;
         const burst = Array.from({ length: count }, (_unused, index) => ({
@@ -144,36 +151,38 @@
           cost: 9_250,
           instance: index % instances,
         }));
-        const perSecond = (RATES[account] ?? 0) * USUAL_PART;
+        const perSecond = (RATES[account] ?? 0) * USUAL_FRACTION;
         const at = EVENLY(instances);
-        const calm = drawArrivals({ account, perSecond, fromMs: START_MS, toMs: atMs, at }, 1);
-        const arrivals = [...calm, ...burst];
+        const usual = drawArrivals({ account, perSecond, fromMs: START_MS, toMs: atMs, at }, 1);
+        const arrivals = [...usual, ...burst];
         assertInBound(playQuotas({ quotaOf, arrivals, instances, durationMs: 20_000 }), account);
       });
     }
   }
 });
 
-/** Guards against a quota that is spent once on each side of a cut. */
-describe('regions that are cut from one another', () => {
-  const cuts = [
-    { name: 'one from the others', isCutRegion: (region: string) => region === 'south' },
-    { name: 'each from each', isCutRegion: () => true },
+/** Guards against spending a quota once on each side of a network partition. */
+describe('regions that are partitioned from one another', () => {
+  const partitions = [
+    { name: 'one from the others', isPartitionedRegion: (region: string) => region === 'south' },
+    { name: 'each from all others', isPartitionedRegion: () => true },
   ];
   for (const account of [SMALL, LARGE]) {
-    for (const { name, isCutRegion } of cuts) {
-      for (const cutMs of [1_000, 10_000, 60_000]) {
-        const cut = {
+    for (const { name, isPartitionedRegion } of partitions) {
+      for (const partitionMs of [1_000, 10_000, 60_000]) {
+        const partition = {
           instances: 30,
-          durationMs: 20_000 + cutMs,
-          isCut: (from: string, to: string, atMs: number) =>
-            (isCutRegion(from) || isCutRegion(to)) && atMs >= 10_000 && atMs < 10_000 + cutMs,
+          durationMs: 20_000 + partitionMs,
+          isPartitioned: (from: string, to: string, atMs: number) =>
+            (isPartitionedRegion(from) || isPartitionedRegion(to)) &&
+            atMs >= 10_000 &&
+            atMs < 10_000 + partitionMs,
         };
-        it(`keep to the quota of ${account}, ${name} for ${cutMs} ms`, () => {
-          assertInBound(play(account, HOT, EVENLY, cut), account);
+        it(`hold ${account} to its quota, ${name} for ${partitionMs} ms`, () => {
+          assertInBound(simulate(account, OVERLOAD_FACTOR, EVENLY, partition), account);
         });
-        it(`refuse nothing inside the quota of ${account}, ${name} for ${cutMs} ms`, () => {
-          const outcomes = play(account, account === SMALL ? 0.5 : 1, EVENLY, cut);
+        it(`refuse nothing within the quota of ${account}, ${name} for ${partitionMs} ms`, () => {
+          const outcomes = simulate(account, account === SMALL ? 0.5 : 1, EVENLY, partition);
           assert.equal(refusedShare(outcomes), 0);
         });
       }
@@ -181,51 +190,57 @@
   }
 });
 
-/** Guards against instances that know nothing and give what they do not know to be spent. */
-describe('instances that go', () => {
+/** Guards against instances that grant the full quota while they lack the counts of others. */
+describe('instances that restart, are isolated or lose messages', () => {
   const cases: readonly (Partial<QuotaFleetOptions> & { readonly name: string })[] = [
-    { name: 'all started anew at once', restartsAtMs: () => [12_000] },
+    { name: 'all restarted at once', restartsAtMs: () => [12_000] },
     {
-      name: 'started anew one after the other',
+      name: 'restarted one after the other',
       restartsAtMs: (instance) => [8_000 + instance * 100],
     },
-    { name: 'one cut off from all', isAlone: (instance, atMs) => instance === 0 && atMs > 10_000 },
     {
-      name: 'a third cut off from all',
-      isAlone: (instance, atMs) => instance % 3 === 0 && atMs > 10_000,
+      name: 'one isolated from all',
+      isIsolated: (instance, atMs) => instance === 0 && atMs > 10_000,
+    },
+    {
+      name: 'a third isolated from all',
+      isIsolated: (instance, atMs) => instance % 3 === 0 && atMs > 10_000,
     },
     { name: 'a fifth of the messages lost', lostShare: 0.2 },
     { name: 'a fifth of the messages repeated', repeatedShare: 0.2 },
   ];
   for (const account of [SMALL, LARGE]) {
     for (const { name, ...options } of cases) {
-      it(`keep to the quota of ${account}, ${name}`, () => {
-        assertInBound(play(account, HOT, EVENLY, { instances: 80, ...options }), account);
+      it(`hold ${account} to its quota, ${name}`, () => {
+        assertInBound(
+          simulate(account, OVERLOAD_FACTOR, EVENLY, { instances: 80, ...options }),
+          account,
+        );
       });
     }
   }
 });
 
-/** Guards against a limit that holds only for who comes after it. */
+/** Guards against a changed quota that applies only to accounts first seen after the change. */
 describe('a quota that changes', () => {
   const changeAtMs = 10_000;
-  it('binds by its new rate one window after it was lowered', () => {
+  it('is enforced at its new rate in the window after it was lowered', () => {
     const lowered = (account: string, atMs: number) => {
       const quota = quotaOf(account);
       const part = atMs >= changeAtMs ? 0.5 : 1;
       return { ...quota, perSecond: quota.perSecond * part, burst: quota.burst * part };
     };
-    const outcomes = play(LARGE, HOT, EVENLY, { instances: 30, quotaOf: lowered });
+    const outcomes = simulate(LARGE, OVERLOAD_FACTOR, EVENLY, { instances: 30, quotaOf: lowered });
     const later = outcomes.filter(({ decidedAtMs }) => decidedAtMs > changeAtMs);
-    assert.ok(mostGranted(later, LARGE, WINDOW_MS) <= bound(lowered(LARGE, changeAtMs)));
+    assert.ok(maxGranted(later, LARGE, WINDOW_MS) <= maxGrantedCost(lowered(LARGE, changeAtMs)));
   });
-  it('is there to be spent once it was raised', () => {
+  it('is available at the higher rate after it was raised', () => {
     const raised = (account: string, atMs: number) => {
       const quota = quotaOf(account);
       const part = atMs >= changeAtMs ? 2 : 0.5;
       return { ...quota, perSecond: quota.perSecond * part, burst: quota.burst * part };
     };
-    const outcomes = play(LARGE, 1.5, EVENLY, { instances: 30, quotaOf: raised });
+    const outcomes = simulate(LARGE, 1.5, EVENLY, { instances: 30, quotaOf: raised });
     const later = outcomes.filter(({ atMs }) => atMs > changeAtMs + 1_000);
     assert.equal(refusedShare(later), 0);
   });
--- a/src/core/account-quotas/counters.ts
+++ b/src/core/account-quotas/counters.ts
@@ -1,26 +1,31 @@
 import { hashPair } from '../rendezvous';
 import type { QuotaPeer } from './types';
 
-/** Who counts what each account spends, as this instance sees the fleet. */
-export interface Counters {
-  /** All instances in use, this one included. */
+/**
+ * Selects the counters of each account from the fleet as this instance sees it. The counter of an account in a region
+ * is the instance that counts its spending there.
+ */
+export interface CounterSelector {
+  /** Returns all usable instances, including this one. */
   instances(): readonly QuotaPeer[];
-  /** The instance of a region that counts an account, and the one that stands in for it. */
-  of(account: string, region: string): readonly QuotaPeer[];
+  /** Returns the counter of an account in a region, followed by its backup. */
+  select(account: string, region: string): readonly QuotaPeer[];
 }
 
-/** What the choice is made from. */
-export interface CountersOptions {
+/** Options of the counter selector. */
+export interface CounterSelectorOptions {
+  /** Returns this instance. */
   readonly self: () => QuotaPeer;
-  /** The other instances that are in use. */
+  /** Returns the other usable instances. */
   readonly peers: () => readonly QuotaPeer[];
   readonly nowMs: () => number;
 }
 
-/** Time for which one look at the fleet is used, ms: shorter than it takes to learn of a change. */
-const LOOK_EVERY_MS = 100;
+/** Interval between two refreshes of the view of the fleet, ms: shorter than the time that detecting a change takes. */
+const REFRESH_INTERVAL_MS = 100;
 
-function firstTwo(account: string, inRegion: readonly QuotaPeer[]): readonly QuotaPeer[] {
+/** Returns the two instances with the highest rendezvous scores for the account. */
+function highestTwo(account: string, inRegion: readonly QuotaPeer[]): readonly QuotaPeer[] {
   let [firstScore, secondScore] = [-1, -1];
   let first: QuotaPeer | undefined;
   let second: QuotaPeer | undefined;
@@ -36,16 +41,24 @@
   return [first, second].flatMap((peer) => peer ?? []);
 }
 
-/** A choice that all instances make alike from the same view; nobody is set aside, and whoever goes is replaced. */
-export function createCounters({ self, peers, nowMs }: CountersOptions): Counters {
-  let lookedAtMs = -Infinity;
+/**
+ * Creates a selector that chooses counters by rendezvous hashing. All instances with the same view of the fleet select
+ * the same ones. No instance is reserved for counting, and one that leaves is replaced by the one with the next highest
+ * score.
+ */
+export function createCounterSelector({
+  self,
+  peers,
+  nowMs,
+}: CounterSelectorOptions): CounterSelector {
+  let refreshedAtMs = -Infinity;
   let all: readonly QuotaPeer[] = [];
   let byRegion = new Map<string, QuotaPeer[]>();
-  const chosen = new Map<string, readonly QuotaPeer[]>();
+  const selectedCounters = new Map<string, readonly QuotaPeer[]>();
 
-  const look = (): void => {
-    if (nowMs() - lookedAtMs < LOOK_EVERY_MS) return;
-    lookedAtMs = nowMs();
+  const refresh = (): void => {
+    if (nowMs() - refreshedAtMs < REFRESH_INTERVAL_MS) return;
+    refreshedAtMs = nowMs();
     all = [...peers(), self()];
     byRegion = new Map();
     for (const peer of all) {
@@ -53,22 +66,22 @@
       inRegion.push(peer);
       byRegion.set(peer.region, inRegion);
     }
-    chosen.clear();
+    selectedCounters.clear();
   };
 
   return {
     instances() {
-      look();
+      refresh();
       return all;
     },
-    of(account, region) {
-      look();
+    select(account, region) {
+      refresh();
       const key = `${region} ${account}`;
-      const known = chosen.get(key);
-      if (known !== undefined) return known;
-      const some = firstTwo(account, byRegion.get(region) ?? []);
-      chosen.set(key, some);
-      return some;
+      const cached = selectedCounters.get(key);
+      if (cached !== undefined) return cached;
+      const selected = highestTwo(account, byRegion.get(region) ?? []);
+      selectedCounters.set(key, selected);
+      return selected;
     },
   };
 }
--- a/src/core/account-quotas/create-account-quotas.ts
+++ b/src/core/account-quotas/create-account-quotas.ts
@@ -1,116 +1,117 @@
 import type { Clock } from '../clock';
-import { createCountBook } from './count-book';
-import type { CountBookOptions } from './count-book';
-import { createCounters } from './counters';
+import { createRegionalCounts } from './count-book';
+import type { RegionalCountsOptions } from './count-book';
+import { createCounterSelector } from './counters';
 import { createLocalReserve } from './local-reserve';
 import { createStandings } from './standings';
-import { readQuotaMessage, writeQuotaMessage } from './messages';
+import { parseQuotaMessage, serializeQuotaMessage } from './messages';
 import type { AskVerdict, QuotaMessage } from './messages';
 import type { QuotaDecision, QuotaPeer, QuotaRequest } from './types';
 
-/** Holds the quotas of accounts over all instances. */
+/** Enforces the quotas of accounts over all instances. */
 export interface AccountQuotas {
-  /** Decides about one request; `decide` may be called before this returns. */
+  /** Decides whether one request is within its quota. `decide` may be called before this returns. */
   require(request: QuotaRequest, decide: (decision: QuotaDecision) => void): void;
-  /** Gives back what was granted to a request that has not run. */
+  /** Refunds the cost granted to a request that has not run. */
   giveBack(request: QuotaRequest): void;
-  /** Takes a message of another instance; says whether it was one. */
+  /** Processes a message of another instance. Returns whether the text was a valid quota message. */
   take(text: string): boolean;
-  /** Tells the others what they have to know, if it is time. */
+  /** Sends the reports that are due to other instances. Must be called regularly. */
   tell(): void;
 }
 
-/** What the quotas are held with. */
+/** Options of the account quotas. */
 export interface AccountQuotasOptions extends Omit<
-  CountBookOptions,
+  RegionalCountsOptions,
   'send' | 'startedAtMs' | 'countId' | 'counters'
 > {
   readonly clock: Clock;
-  /** The other instances that are in use. */
+  /** Returns the other usable instances. */
   readonly peers: () => readonly QuotaPeer[];
   readonly send: (address: string, text: string) => void;
 }
 
-/** Time for an answer of an instance of this region, after which it is asked again, ms: far more than the way there. */
-const ANSWER_WITHIN_MS = 120;
-/** Times that one instance is asked before the next one is: a message may be lost. */
-const MOST_TRIES = 2;
-/** Time for which answers are kept, so that an ask that comes twice is not counted twice, ms. */
-const ANSWERS_KEPT_MS = 1_000;
-/** Longest time that a request waits for its account to have something left again, ms; others are told to come back. */
-const MOST_HELD_MS = 300;
-/** When to come back where nobody who counts answers: whoever has gone is known to have gone by then, ms. */
+/** Timeout for an answer of an instance of this region, ms: far more than the network delay. It is then asked again. */
+const ANSWER_TIMEOUT_MS = 120;
+/** Maximum number of tries at one instance before the next one is asked: a message may be lost. */
+const MAX_TRIES = 2;
+/** Minimum time for which answers are kept, ms, so that a repeated `ask` message is not counted twice. */
+const ANSWER_TTL_MS = 1_000;
+/** Maximum time a request is held until its quota is refilled, ms. Otherwise it is refused with a retry time. */
+const MAX_HOLD_MS = 300;
+/** Retry delay if no counter answers, ms: by then, the failure of an instance has been detected. */
 const UNREACHABLE_RETRY_MS = 500;
-/** Asks that one process makes in a millisecond at most. */
-const ASKS_PER_MS = 1_000;
-/** Rest between two messages of what was spent without asking, ms. */
-const SPENT_EVERY_MS = 100;
-/** Rest between two looks for accounts that send nothing any more, ms. */
-const FORGET_EVERY_MS = 10_000;
+/** Maximum number of asks of one process per millisecond, which keeps the ask ids of successive processes apart. */
+const MAX_ASKS_PER_MS = 1_000;
+/** Interval between two reports of costs that were spent without asking, ms. */
+const SPENT_REPORT_INTERVAL_MS = 100;
+/** Interval between two cleanups of idle accounts, ms. */
+const CLEANUP_INTERVAL_MS = 10_000;
 
-interface Waiting {
+/** A request that waits for the answer of a counter. */
+interface PendingAsk {
   readonly request: QuotaRequest;
   readonly decide: (decision: QuotaDecision) => void;
-  /** Instances that have been asked. */
+  /** Ids of the instances that have been asked. */
   readonly asked: readonly string[];
-  /** Whether it has waited for something to be left already. */
+  /** Whether the request has already been held until its quota was refilled. */
   readonly wasHeld: boolean;
   readonly timer: Disposable;
 }
 
-/** Quotas of which nothing is known yet. */
+/** Creates account quotas, which exchange messages with the other instances instead of sharing state. */
 export function createAccountQuotas(options: AccountQuotasOptions): AccountQuotas {
   const { clock, self } = options;
   const nowMs = () => clock.monotonicMs();
   const send = (address: string, message: QuotaMessage): void =>
-    options.send(address, writeQuotaMessage(message));
-  const counters = createCounters({ ...options, nowMs });
-  let mostSeen = 1;
-  /** The most that have been there: some of those that are not seen may be there all the same. */
-  const mostInstances = (): number => {
-    mostSeen = Math.max(mostSeen, counters.instances().length);
-    return mostSeen;
+    options.send(address, serializeQuotaMessage(message));
+  const counters = createCounterSelector({ ...options, nowMs });
+  let maxInstancesSeen = 1;
+  /** Returns the maximum number of instances seen so far: some that are not visible now may still be running. */
+  const maxInstances = (): number => {
+    maxInstancesSeen = Math.max(maxInstancesSeen, counters.instances().length);
+    return maxInstancesSeen;
   };
-  const book = createCountBook({
+  const ownCounts = createRegionalCounts({
     ...options,
     counters,
     send,
     startedAtMs: nowMs(),
     countId: clock.unixMs(),
   });
-  const reserve = createLocalReserve(() => mostInstances(), nowMs());
+  const reserve = createLocalReserve(() => maxInstances(), nowMs());
   const standings = createStandings({ instances: () => counters.instances().length });
-  const waiting = new Map<number, Waiting>();
-  /** Asks whose time is over: a grant that comes late is given back. */
-  const overdue = new Map<
+  const pendingAsks = new Map<number, PendingAsk>();
+  /** Asks that have timed out: a grant that arrives late is refunded. */
+  const timedOutAsks = new Map<
     number,
     { readonly request: QuotaRequest; readonly counter: QuotaPeer }
   >();
-  const unpaid = new Map<string, number>();
-  /** Answers by who asked and which ask it was, the latest ones and those before. */
+  const unreportedCosts = new Map<string, number>();
+  /** Answers by instance and ask id: the current generation and the previous one. */
   let answers = new Map<string, AskVerdict>();
-  let earlierAnswers = answers;
+  let previousAnswers = answers;
   let answersSinceMs = 0;
-  // An ask of a process that was started anew under the same name must not look like one before.
-  let lastAskId = clock.unixMs() * ASKS_PER_MS;
-  let spentAtMs = 0;
-  let forgetAtMs = 0;
+  // Ask ids start at the current time, so that a process restarted under the same name does not reuse earlier ids.
+  let lastAskId = clock.unixMs() * MAX_ASKS_PER_MS;
+  let nextSpentReportAtMs = 0;
+  let nextCleanupAtMs = 0;
 
-  const countersHere = (account: string) => counters.of(account, self().region);
+  const localCounters = (account: string) => counters.select(account, self().region);
 
-  const noteUnpaid = (account: string, cost: number): void => {
-    unpaid.set(account, (unpaid.get(account) ?? 0) + cost);
+  const addUnreportedCost = (account: string, cost: number): void => {
+    unreportedCosts.set(account, (unreportedCosts.get(account) ?? 0) + cost);
   };
 
-  /** Hands a verdict on, or lets the request wait for a moment where that is enough. */
-  const settle = (ask: Omit<Waiting, 'timer'>, verdict: AskVerdict): void => {
+  /** Decides a request by its verdict, holds it if the quota is refilled soon enough, or asks the next counter. */
+  const resolve = (ask: Omit<PendingAsk, 'timer'>, verdict: AskVerdict): void => {
     const { request, decide } = ask;
     switch (verdict.kind) {
       case 'granted':
         decide({ kind: 'granted' });
         return;
       case 'spent':
-        if (ask.wasHeld || verdict.retryAfterMs > MOST_HELD_MS) {
+        if (ask.wasHeld || verdict.retryAfterMs > MAX_HOLD_MS) {
           decide(verdict);
           return;
         }
@@ -126,41 +127,41 @@
     }
   };
 
-  const askAt = (counter: QuotaPeer, ask: Omit<Waiting, 'timer'>): void => {
+  const sendAsk = (counter: QuotaPeer, ask: Omit<PendingAsk, 'timer'>): void => {
     lastAskId += 1;
     const askId = lastAskId;
     const { account, cost } = ask.request;
-    const trySending = (triesLeft: number): void => {
-      const timer = clock.schedule(nowMs() + ANSWER_WITHIN_MS, () => {
-        if (triesLeft > 0) {
-          trySending(triesLeft - 1);
+    const trySending = (remainingTries: number): void => {
+      const timer = clock.schedule(nowMs() + ANSWER_TIMEOUT_MS, () => {
+        if (remainingTries > 0) {
+          trySending(remainingTries - 1);
           return;
         }
-        waiting.delete(askId);
-        overdue.set(askId, { request: ask.request, counter });
+        pendingAsks.delete(askId);
+        timedOutAsks.set(askId, { request: ask.request, counter });
         askNext(ask);
       });
-      waiting.set(askId, { ...ask, timer });
+      pendingAsks.set(askId, { ...ask, timer });
       send(counter.address, { kind: 'ask', from: self(), askId, account, cost });
     };
-    trySending(MOST_TRIES - 1);
+    trySending(MAX_TRIES - 1);
   };
 
-  function askNext(ask: Omit<Waiting, 'timer'>): void {
+  function askNext(ask: Omit<PendingAsk, 'timer'>): void {
     const { account, cost } = ask.request;
-    const counter = countersHere(account).find(({ instanceId }) => !ask.asked.includes(instanceId));
-    if (counter === undefined) {
+    const peer = localCounters(account).find(({ instanceId }) => !ask.asked.includes(instanceId));
+    if (peer === undefined) {
       ask.decide({ kind: 'unreachable', retryAfterMs: UNREACHABLE_RETRY_MS });
       return;
     }
-    const next = { ...ask, asked: [...ask.asked, counter.instanceId] };
-    if (counter.instanceId === self().instanceId) settle(next, book.ask(account, cost, nowMs()));
-    else askAt(counter, next);
+    const next = { ...ask, asked: [...ask.asked, peer.instanceId] };
+    if (peer.instanceId === self().instanceId) resolve(next, ownCounts.ask(account, cost, nowMs()));
+    else sendAsk(peer, next);
   }
 
-  const takeAnswer = (askId: number, verdict: AskVerdict): void => {
-    const late = overdue.get(askId);
-    overdue.delete(askId);
+  const receiveAnswer = (askId: number, verdict: AskVerdict): void => {
+    const late = timedOutAsks.get(askId);
+    timedOutAsks.delete(askId);
     if (late !== undefined && verdict.kind === 'granted') {
       const { account, cost } = late.request;
       send(late.counter.address, {
@@ -169,86 +170,87 @@
         costs: [{ account, cost: -cost }],
       });
     }
-    const ask = waiting.get(askId);
+    const ask = pendingAsks.get(askId);
     if (ask === undefined) return;
     const { account } = ask.request;
-    if (verdict.kind === 'granted') standings.note(account, verdict.left, nowMs());
-    if (verdict.kind === 'spent') standings.note(account, verdict.standing.left, nowMs());
-    waiting.delete(askId);
+    if (verdict.kind === 'granted') standings.record(account, verdict.left, nowMs());
+    if (verdict.kind === 'spent') standings.record(account, verdict.standing.left, nowMs());
+    pendingAsks.delete(askId);
     ask.timer[Symbol.dispose]();
-    settle(ask, verdict);
+    resolve(ask, verdict);
   };
 
-  /** Pays for what was spent without asking, at whoever counts it. */
-  const tellSpent = (): void => {
-    if (unpaid.size === 0 || nowMs() < spentAtMs) return;
-    spentAtMs = nowMs() + SPENT_EVERY_MS;
+  /** Reports costs that were spent without asking to the instances that count the accounts. */
+  const reportSpent = (): void => {
+    if (unreportedCosts.size === 0 || nowMs() < nextSpentReportAtMs) return;
+    nextSpentReportAtMs = nowMs() + SPENT_REPORT_INTERVAL_MS;
     const byAddress = new Map<string, { account: string; cost: number }[]>();
-    for (const [account, cost] of unpaid) {
-      const [counter = self()] = countersHere(account);
-      if (counter.instanceId === self().instanceId) book.noteSpent(account, cost, nowMs());
+    for (const [account, cost] of unreportedCosts) {
+      const [counter = self()] = localCounters(account);
+      if (counter.instanceId === self().instanceId) ownCounts.recordSpent(account, cost, nowMs());
       else {
         const costs = byAddress.get(counter.address) ?? [];
         costs.push({ account, cost });
         byAddress.set(counter.address, costs);
       }
     }
-    unpaid.clear();
+    unreportedCosts.clear();
     for (const [address, costs] of byAddress) send(address, { kind: 'spent', from: self(), costs });
   };
 
-  const forget = (): void => {
-    if (nowMs() < forgetAtMs) return;
-    forgetAtMs = nowMs() + FORGET_EVERY_MS;
-    reserve.dropQuiet(nowMs());
-    standings.dropOld(nowMs());
-    overdue.clear();
+  const cleanUp = (): void => {
+    if (nowMs() < nextCleanupAtMs) return;
+    nextCleanupAtMs = nowMs() + CLEANUP_INTERVAL_MS;
+    reserve.deleteIdle(nowMs());
+    standings.deleteExpired(nowMs());
+    timedOutAsks.clear();
   };
 
-  const answerOnce = (askName: string, account: string, cost: number): AskVerdict => {
-    if (nowMs() - answersSinceMs >= ANSWERS_KEPT_MS) {
-      earlierAnswers = answers;
+  /** Returns the answer to an ask; an ask that was received before gets the same answer again. */
+  const getOrCreateAnswer = (askKey: string, account: string, cost: number): AskVerdict => {
+    if (nowMs() - answersSinceMs >= ANSWER_TTL_MS) {
+      previousAnswers = answers;
       answers = new Map();
       answersSinceMs = nowMs();
     }
     const verdict =
-      answers.get(askName) ?? earlierAnswers.get(askName) ?? book.ask(account, cost, nowMs());
-    answers.set(askName, verdict);
+      answers.get(askKey) ?? previousAnswers.get(askKey) ?? ownCounts.ask(account, cost, nowMs());
+    answers.set(askKey, verdict);
     return verdict;
   };
 
   const replyToSpent = ({ from, costs }: Extract<QuotaMessage, { kind: 'spent' }>): void => {
-    for (const { account, cost } of costs) book.noteSpent(account, cost, nowMs());
-    const left = costs.flatMap(({ account }) => {
-      const now = book.left(account, nowMs());
-      return now === undefined ? [] : [{ account, left: now }];
+    for (const { account, cost } of costs) ownCounts.recordSpent(account, cost, nowMs());
+    const remainingQuotas = costs.flatMap(({ account }) => {
+      const remaining = ownCounts.left(account, nowMs());
+      return remaining === undefined ? [] : [{ account, left: remaining }];
     });
-    send(from.address, { kind: 'standings', standings: left });
+    send(from.address, { kind: 'standings', standings: remainingQuotas });
   };
 
-  const takeMessage = (message: QuotaMessage): void => {
+  const receiveMessage = (message: QuotaMessage): void => {
     switch (message.kind) {
       case 'ask': {
         const { from, askId, account, cost } = message;
-        const verdict = answerOnce(`${from.instanceId} ${askId}`, account, cost);
+        const verdict = getOrCreateAnswer(`${from.instanceId} ${askId}`, account, cost);
         send(from.address, { kind: 'answer', askId, verdict });
         return;
       }
       case 'answer':
-        takeAnswer(message.askId, message.verdict);
+        receiveAnswer(message.askId, message.verdict);
         return;
       case 'spent':
         replyToSpent(message);
         return;
       case 'standings':
-        for (const { account, left } of message.standings) standings.note(account, left, nowMs());
+        for (const { account, left } of message.standings) standings.record(account, left, nowMs());
         return;
       case 'counts': {
         const { from, counts, wantsReply } = message;
-        book.take(counts, from, nowMs());
+        ownCounts.receive(counts, from, nowMs());
         if (!wantsReply) return;
         const accounts = counts.map(({ account }) => account);
-        const reply = book.counts(accounts, nowMs());
+        const reply = ownCounts.counts(accounts, nowMs());
         send(from.address, { kind: 'counts', from: self(), wantsReply: false, counts: reply });
         return;
       }
@@ -260,30 +262,30 @@
   return {
     require(request, decide) {
       const { account, cost, quota } = request;
-      const spending = { cost, quota, unpaid: unpaid.get(account) ?? 0 };
-      const known = standings.judge(account, spending, nowMs());
-      if (known.kind === 'granted' || reserve.take(account, cost, quota, nowMs())) {
-        noteUnpaid(account, cost);
+      const spending = { cost, quota, unreportedCost: unreportedCosts.get(account) ?? 0 };
+      const localVerdict = standings.evaluate(account, spending, nowMs());
+      if (localVerdict.kind === 'granted' || reserve.trySpend(account, cost, quota, nowMs())) {
+        addUnreportedCost(account, cost);
         decide({ kind: 'granted' });
         return;
       }
-      if (known.kind === 'spent') {
-        const { retryAfterMs, left } = known;
+      if (localVerdict.kind === 'spent') {
+        const { retryAfterMs, left } = localVerdict;
         decide({ kind: 'spent', retryAfterMs, standing: { left, unheardRegions: [] } });
         return;
       }
       askNext({ request, decide, asked: [], wasHeld: false });
     },
-    giveBack: ({ account, cost }) => noteUnpaid(account, -cost),
+    giveBack: ({ account, cost }) => addUnreportedCost(account, -cost),
     take(text) {
-      const message = readQuotaMessage(text);
-      if (message !== undefined) takeMessage(message);
+      const message = parseQuotaMessage(text);
+      if (message !== undefined) receiveMessage(message);
       return message !== undefined;
     },
     tell() {
-      tellSpent();
-      book.tell(nowMs());
-      forget();
+      reportSpent();
+      ownCounts.sendDueReports(nowMs());
+      cleanUp();
     },
   };
 }
--- a/src/core/account-quotas/local-reserve.ts
+++ b/src/core/account-quotas/local-reserve.ts
@@ -1,49 +1,52 @@
 import type { AccountQuota } from '../client-accounts';
-import { refilled, without } from './bucket';
+import { refilled, withdraw } from './bucket';
 import type { Bucket } from './bucket';
 
-/** A small part of each quota that an instance spends without asking. */
+/** Holds a small part of each quota, which an instance spends without asking the instance that counts the account. */
 export interface LocalReserve {
-  /** Takes a cost where the reserve holds it; says whether it did. */
-  take(account: string, cost: number, quota: AccountQuota, nowMs: number): boolean;
-  /** Forgets accounts that have not been seen for long. */
-  dropQuiet(nowMs: number): void;
+  /** Spends a cost if the reserve covers it. Returns whether it did. */
+  trySpend(account: string, cost: number, quota: AccountQuota, nowMs: number): boolean;
+  /** Deletes the reserves of accounts that have sent no requests for a minute. */
+  deleteIdle(nowMs: number): void;
 }
 
-/** Least number of parts while an instance has just started: as many instances may be there without its knowing. */
-const FEWEST_PARTS_UNSETTLED = 128;
-/** The same later on. */
-const FEWEST_PARTS = 32;
-/** Parts for each instance that is known: half of a quota is all that instances may spend unseen. */
+/**
+ * Minimum number of parts into which a quota is divided just after the start: this many instances may exist that this
+ * one does not know yet.
+ */
+const MIN_PARTS_UNSETTLED = 128;
+/** Minimum number of parts into which a quota is divided once the other instances are known. */
+const MIN_PARTS = 32;
+/** Number of parts per known instance: all instances together may spend at most half of a quota without asking. */
 const PARTS_PER_INSTANCE = 2;
-/** Time after its start in which an instance gets to know the others, ms. */
+/** Time after its start within which an instance discovers the others, ms. */
 const SETTLED_AFTER_MS = 3_000;
-/** Time after which an account that sends nothing is forgotten, ms; its reserve is full by then. */
-const FORGET_AFTER_MS = 60_000;
+/** Time without requests after which the reserve of an account is deleted, ms. It is full again by then. */
+const IDLE_TTL_MS = 60_000;
 
 /**
- * Reserves that are empty.
+ * Creates local reserves, each of which starts empty and fills at a part of the rate of its quota.
  *
- * Answers many small requests: each asked for by itself would cost a message and its answer, and none could be served
- * by an instance that reaches nobody who counts. What is taken here is told, and paid for like everything else.
+ * Without them, each of many small requests would cost a message and its answer, and an instance that reaches no
+ * instance that counts the account could serve none. What is spent here is reported and counted like everything else.
  */
 export function createLocalReserve(instances: () => number, startedAtMs: number): LocalReserve {
   const reserves = new Map<string, Bucket>();
   return {
-    take(account, cost, quota, nowMs) {
+    trySpend(account, cost, quota, nowMs) {
       const isSettled = nowMs - startedAtMs >= SETTLED_AFTER_MS;
-      const fewestParts = isSettled ? FEWEST_PARTS : FEWEST_PARTS_UNSETTLED;
-      const parts = Math.max(fewestParts, PARTS_PER_INSTANCE * instances());
+      const minParts = isSettled ? MIN_PARTS : MIN_PARTS_UNSETTLED;
+      const parts = Math.max(minParts, PARTS_PER_INSTANCE * instances());
       const refill = { perSecond: quota.perSecond / parts, most: quota.burst / parts };
-      const before = reserves.get(account) ?? { left: 0, atMs: nowMs };
-      const reserve = refilled(before, refill, nowMs);
-      const isHeld = reserve.left >= cost;
-      reserves.set(account, isHeld ? without(reserve, cost) : reserve);
-      return isHeld;
+      const previous = reserves.get(account) ?? { left: 0, atMs: nowMs };
+      const reserve = refilled(previous, refill, nowMs);
+      const isSufficient = reserve.left >= cost;
+      reserves.set(account, isSufficient ? withdraw(reserve, cost) : reserve);
+      return isSufficient;
     },
-    dropQuiet(nowMs) {
+    deleteIdle(nowMs) {
       for (const [account, { atMs }] of reserves) {
-        if (nowMs - atMs > FORGET_AFTER_MS) reserves.delete(account);
+        if (nowMs - atMs > IDLE_TTL_MS) reserves.delete(account);
       }
     },
   };
--- a/src/core/account-quotas/messages.ts
+++ b/src/core/account-quotas/messages.ts
@@ -1,7 +1,5 @@
 import { z } from 'zod';
 
-/** What instances tell one another of quotas. Costs are in the unit of the account's quota. */
-
 const peerSchema = z.object({
   instanceId: z.string(),
   region: z.string(),
@@ -17,8 +15,9 @@
   isSettled: z.boolean(),
 });
 
+/** Schema of the messages between instances about quotas. Costs are in the unit of the quota of the account. */
 const messageSchema = z.discriminatedUnion('kind', [
-  /** Asks whoever counts an account in the region. */
+  /** Asks the instance that counts an account in the region. */
   z.object({
     kind: z.literal('ask'),
     from: peerSchema,
@@ -36,22 +35,22 @@
         retryAfterMs: z.number().min(0),
         standing: z.object({ left: z.number(), unheardRegions: z.array(z.string()) }),
       }),
-      /** The one that was asked does not have the account in force. */
+      /** The configuration in force at the asked instance does not contain the account. */
       z.object({ kind: z.literal('unknownAccount') }),
     ]),
   }),
-  /** What was spent without asking, or given back where it is negative. */
+  /** Costs that were spent without asking; negative costs are refunds. */
   z.object({
     kind: z.literal('spent'),
     from: peerSchema,
     costs: z.array(z.object({ account: z.string(), cost: z.number() })),
   }),
-  /** What is left of accounts, as the reply to what was spent of them. */
+  /** Remaining quotas of accounts, in reply to `spent`. */
   z.object({
     kind: z.literal('standings'),
     standings: z.array(z.object({ account: z.string(), left: z.number() })),
   }),
-  /** Counts of one instance, for those that count the same accounts. */
+  /** Counts of one instance, sent to the other instances that count the same accounts. */
   z.object({
     kind: z.literal('counts'),
     from: peerSchema,
@@ -60,19 +59,19 @@
   }),
 ]);
 
-/** One message about quotas. */
+/** A message between instances about quotas. */
 export type QuotaMessage = z.output<typeof messageSchema>;
 
-/** An answer to an ask. */
+/** The verdict in an answer to an `ask` message. */
 export type AskVerdict = Extract<QuotaMessage, { kind: 'answer' }>['verdict'];
 
-/** A message as text. */
-export function writeQuotaMessage(message: QuotaMessage): string {
+/** Serializes a message to text. */
+export function serializeQuotaMessage(message: QuotaMessage): string {
   return JSON.stringify(message);
 }
 
-/** A message from text; undefined where it is none. */
-export function readQuotaMessage(text: string): QuotaMessage | undefined {
+/** Parses a message; undefined if the text is not a valid one. */
+export function parseQuotaMessage(text: string): QuotaMessage | undefined {
   try {
     return messageSchema.safeParse(JSON.parse(text)).data;
   } catch {
--- a/src/core/account-quotas/region-shares.ts
+++ b/src/core/account-quotas/region-shares.ts
@@ -1,17 +1,27 @@
-/** Part of a quota that is divided evenly, whatever each region uses: one that used nothing before a cut may use some. */
-const EVEN_PART = 0.5;
+/**
+ * Fraction of a quota that is divided evenly, whatever each region uses, so that a region that used nothing before a
+ * network partition can still use some.
+ */
+const EVEN_FRACTION = 0.5;
 
-/** The share of each region in a quota while regions do not hear one another; together they are 1. */
+/**
+ * Returns the share of each region in a quota, for times when regions receive no reports from one another. The shares
+ * add up to 1.
+ */
 export function regionShares(
   regions: readonly string[],
   spentPerSecond: ReadonlyMap<string, number>,
 ): ReadonlyMap<string, number> {
-  const all = regions.reduce((sum, region) => sum + (spentPerSecond.get(region) ?? 0), 0);
-  const even = 1 / Math.max(1, regions.length);
+  const totalPerSecond = regions.reduce(
+    (sum, region) => sum + (spentPerSecond.get(region) ?? 0),
+    0,
+  );
+  const evenShare = 1 / Math.max(1, regions.length);
   return new Map(
     regions.map((region) => {
-      const used = all > 0 ? (spentPerSecond.get(region) ?? 0) / all : even;
-      return [region, EVEN_PART * even + (1 - EVEN_PART) * used];
+      const usageShare =
+        totalPerSecond > 0 ? (spentPerSecond.get(region) ?? 0) / totalPerSecond : evenShare;
+      return [region, EVEN_FRACTION * evenShare + (1 - EVEN_FRACTION) * usageShare];
     }),
   );
 }
--- a/src/core/account-quotas/region-view.ts
+++ b/src/core/account-quotas/region-view.ts
@@ -1,59 +1,64 @@
-import type { Counters } from './counters';
+import type { CounterSelector } from './counters';
 import type { QuotaPeer } from './types';
 
-/** Remembers how many instances there have been, to know how much of its region this one still reaches. */
+/** Tracks the instances seen recently, to estimate how much of its region this instance still reaches. */
 export interface RegionView {
-  /** Notes who is there now; to be called all the time, also where nothing is counted yet. */
-  look(nowMs: number): void;
-  /** Part of its region's share that an instance may spend as the one that counts an account. */
-  partOfShare(isStandIn: boolean): number;
+  /** Records the instances reachable now. Must be called regularly, even while nothing is counted yet. */
+  update(nowMs: number): void;
+  /** Returns the fraction of the region's share that this instance may grant as the counter or backup of an account. */
+  shareFraction(isBackup: boolean): number;
 }
 
-/** What the view is made from. */
+/** Options of the region view. */
 export interface RegionViewOptions {
   readonly self: () => QuotaPeer;
-  readonly counters: Pick<Counters, 'instances'>;
-  /** All regions, this one included. */
+  readonly counters: Pick<CounterSelector, 'instances'>;
+  /** Returns all regions, including this one. */
   readonly regions: () => readonly string[];
 }
 
-/** Time for which instances that are not seen any more are reckoned with, ms: a cut may last for minutes. */
-const REMEMBERED_FOR_MS = 120_000;
-/** Part of the share for an instance that stands in for the one that counts, which may be there all the same. */
-const STAND_IN_PART = 0.25;
-/** Parts of a quota that all instances may spend without asking, twice over: an instance alone has that besides. */
-const PARTS_UNASKED = 64;
+/** Time for which unreachable instances still count as present, ms: a network partition may last for minutes. */
+const SEEN_TTL_MS = 120_000;
+/** Fraction of the share that a backup may grant, since the counter may still be running, but unreachable from here. */
+const BACKUP_FRACTION = 0.25;
 /**
- * A view that has seen nobody.
+ * 1 / RESERVE_PARTS of the quota is deducted from what an isolated instance may grant, since it may also spend its
+ * local reserve. The value is twice `MIN_PARTS` of the local reserve.
+ */
+const RESERVE_PARTS = 64;
+
+/**
+ * Creates a region view, which limits spending during a network partition within a region.
  *
- * Answers cuts within a region. Each part finds an instance of its own that counts, and each of those would spend the share
- * of the whole region. So a part spends as much of it as it has instances among those that were there lately, and one that
- * reaches nobody spends what all could spend at once in that state.
+ * Each side of the partition selects a counter of its own, and each counter would spend the share of the whole region.
+ * Therefore a side spends only the fraction of the share that matches its fraction of the recently seen instances of
+ * the region. An instance that reaches no other one spends at most an equal part of the quota, so that all instances
+ * together would keep to the quota if each of them were isolated.
  */
 export function createRegionView({ self, counters, regions }: RegionViewOptions): RegionView {
-  const seenAtMs = new Map<string, { readonly region: string; readonly atMs: number }>();
-  let part = 1;
+  const seen = new Map<string, { readonly region: string; readonly atMs: number }>();
+  let fraction = 1;
 
-  const look = (nowMs: number): void => {
-    const here = self();
-    const now = counters.instances();
-    for (const { instanceId, region } of now) seenAtMs.set(instanceId, { region, atMs: nowMs });
-    for (const [instanceId, { atMs }] of seenAtMs) {
-      if (nowMs - atMs > REMEMBERED_FOR_MS) seenAtMs.delete(instanceId);
+  const update = (nowMs: number): void => {
+    const ownPeer = self();
+    const reachable = counters.instances();
+    for (const { instanceId, region } of reachable) seen.set(instanceId, { region, atMs: nowMs });
+    for (const [instanceId, { atMs }] of seen) {
+      if (nowMs - atMs > SEEN_TTL_MS) seen.delete(instanceId);
     }
-    const known = [...seenAtMs.values()];
-    const knownHere = known.filter(({ region }) => region === here.region).length;
-    const seenHere = now.filter(({ region }) => region === here.region).length;
-    if (now.length > 1 || known.length === 1) {
-      part = seenHere / knownHere;
+    const known = [...seen.values()];
+    const knownInRegion = known.filter(({ region }) => region === ownPeer.region).length;
+    const reachableInRegion = reachable.filter(({ region }) => region === ownPeer.region).length;
+    if (reachable.length > 1 || known.length === 1) {
+      fraction = reachableInRegion / knownInRegion;
       return;
     }
-    const ofQuota = Math.max(0, 1 / known.length - 1 / PARTS_UNASKED);
-    part = Math.min(1, ofQuota * regions().length);
+    const quotaFraction = Math.max(0, 1 / known.length - 1 / RESERVE_PARTS);
+    fraction = Math.min(1, quotaFraction * regions().length);
   };
 
   return {
-    look,
-    partOfShare: (isStandIn) => (isStandIn ? part * STAND_IN_PART : part),
+    update,
+    shareFraction: (isBackup) => (isBackup ? fraction * BACKUP_FRACTION : fraction),
   };
 }
--- a/src/core/account-quotas/standings.ts
+++ b/src/core/account-quotas/standings.ts
@@ -1,96 +1,104 @@
 import type { AccountQuota } from '../client-accounts';
 
-/** What those who count have last said is left of each account. */
+/** Keeps the remaining quota of each account, as last reported by the instances that count it. */
 export interface Standings {
-  note(account: string, left: number, nowMs: number): void;
-  /** What the last word says of one request. */
-  judge(account: string, spending: Spending, nowMs: number): StandingVerdict;
-  dropOld(nowMs: number): void;
+  /** Records a reported remaining quota. */
+  record(account: string, left: number, nowMs: number): void;
+  /** Evaluates one request against the last report. */
+  evaluate(account: string, spending: SpendingRequest, nowMs: number): StandingVerdict;
+  /** Deletes expired standings, except those for which retry times after `nowMs` have been given to callers. */
+  deleteExpired(nowMs: number): void;
 }
 
-/** What is to be spent of an account. */
-export interface Spending {
+/** A request to spend from the quota of an account. */
+export interface SpendingRequest {
   readonly cost: number;
   readonly quota: AccountQuota;
-  /** What was spent here since it was last told. */
-  readonly unpaid: number;
+  /** Cost spent at this instance and not yet reported to the instance that counts the account. */
+  readonly unreportedCost: number;
 }
 
-/** What is known without asking. */
+/** Result of evaluating a request locally, without asking another instance. */
 export type StandingVerdict =
   | { readonly kind: 'granted' }
   | { readonly kind: 'spent'; readonly retryAfterMs: number; readonly left: number }
-  /** Too little is known: whoever counts has to be asked. */
+  /** Too little is known locally: the instance that counts the account has to be asked. */
   | { readonly kind: 'unknown' };
 
-/** What the standings are kept with. */
+/** Options of the standings. */
 export interface StandingsOptions {
-  /** Instances among which an account's requests are spread. */
+  /** Returns the number of instances over which the requests of an account are spread. */
   readonly instances: () => number;
 }
 
-/** Time for which a standing is gone by, ms; whoever spends is told the next one several times in it. */
-const USED_FOR_MS = 1_000;
-/** Part of what is left that one instance may spend before it has told of it: others may do the same meanwhile. */
-const UNTOLD_PART = 0.25;
-/** Least and most time to come back after, ms. */
-const SHORTEST_RETRY_MS = 100;
-const LONGEST_RETRY_MS = 30_000;
+/** Time for which a standing is used, ms. An instance that spends receives several newer ones in this time. */
+const TTL_MS = 1_000;
+/**
+ * Maximum fraction of the remaining quota that one instance may spend before it has reported it. It is limited because
+ * other instances may do the same meanwhile.
+ */
+const UNREPORTED_FRACTION = 0.25;
+/** Bounds of the retry delay that callers are given, ms. */
+const MIN_RETRY_MS = 100;
+const MAX_RETRY_MS = 30_000;
 const MS_PER_S = 1_000;
 
 interface Standing {
   readonly left: number;
   readonly atMs: number;
-  /** Up to here, times were given to refused requests. */
-  readonly promisedUntilMs: number;
+  /** Earliest retry time for the next refused request; earlier times were given to other requests. */
+  readonly nextRetryAtMs: number;
 }
 
 /**
- * Standings of which none is known.
+ * Creates a store of standings, which decides requests of busy accounts locally.
  *
- * Answers accounts that ask all the time, many times their usual among them. For each of their requests to wait for an
- * answer of the instance that counts them costs messages just when that one is busiest, and refusals come late; one
- * notices requests late or ended at their deadline while an account is over its quota.
+ * An account that sends requests all the time, possibly at many times its usual rate, would otherwise have each request
+ * wait for the instance that counts the account. That costs messages just when that instance is busiest and delays
+ * refusals: while the account is over its quota, requests would be late or end at their deadline.
  */
 export function createStandings({ instances }: StandingsOptions): Standings {
-  const known = new Map<string, Standing>();
+  const standings = new Map<string, Standing>();
 
-  /** Times follow one another at this instance's part of the rate, so that not all come back at once. */
+  /**
+   * Refuses a request. Successive retry times are spaced at this instance's part of the refill rate, so that callers do
+   * not all retry at once.
+   */
   const refuse = (
     account: string,
     standing: Standing,
     left: number,
-    { cost, quota }: Spending,
+    { cost, quota }: SpendingRequest,
     nowMs: number,
   ): StandingVerdict => {
     const perMs = quota.perSecond / MS_PER_S;
-    const dueAtMs = Math.max(nowMs - left / perMs, standing.promisedUntilMs);
-    known.set(account, {
+    const dueAtMs = Math.max(nowMs - left / perMs, standing.nextRetryAtMs);
+    standings.set(account, {
       ...standing,
-      promisedUntilMs: dueAtMs + (cost * instances()) / perMs,
+      nextRetryAtMs: dueAtMs + (cost * instances()) / perMs,
     });
     const waitMs = Math.ceil(dueAtMs - nowMs);
-    const retryAfterMs = Math.min(LONGEST_RETRY_MS, Math.max(SHORTEST_RETRY_MS, waitMs));
+    const retryAfterMs = Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, waitMs));
     return { kind: 'spent', retryAfterMs, left };
   };
 
   return {
-    note(account, left, nowMs) {
-      const promisedUntilMs = known.get(account)?.promisedUntilMs ?? -Infinity;
-      known.set(account, { left, atMs: nowMs, promisedUntilMs });
+    record(account, left, nowMs) {
+      const nextRetryAtMs = standings.get(account)?.nextRetryAtMs ?? -Infinity;
+      standings.set(account, { left, atMs: nowMs, nextRetryAtMs });
     },
-    judge(account, spending, nowMs) {
-      const standing = known.get(account);
-      if (standing === undefined || nowMs - standing.atMs > USED_FOR_MS) return { kind: 'unknown' };
-      const { cost, quota, unpaid } = spending;
-      if (unpaid + cost <= standing.left * UNTOLD_PART) return { kind: 'granted' };
-      const refilled = (quota.perSecond * (nowMs - standing.atMs)) / MS_PER_S;
-      const left = standing.left + refilled - unpaid;
+    evaluate(account, spending, nowMs) {
+      const standing = standings.get(account);
+      if (standing === undefined || nowMs - standing.atMs > TTL_MS) return { kind: 'unknown' };
+      const { cost, quota, unreportedCost } = spending;
+      if (unreportedCost + cost <= standing.left * UNREPORTED_FRACTION) return { kind: 'granted' };
+      const refilledSince = (quota.perSecond * (nowMs - standing.atMs)) / MS_PER_S;
+      const left = standing.left + refilledSince - unreportedCost;
       return left <= 0 ? refuse(account, standing, left, spending, nowMs) : { kind: 'unknown' };
     },
-    dropOld(nowMs) {
-      for (const [account, { atMs, promisedUntilMs }] of known) {
-        if (nowMs - atMs > USED_FOR_MS && promisedUntilMs < nowMs) known.delete(account);
+    deleteExpired(nowMs) {
+      for (const [account, { atMs, nextRetryAtMs }] of standings) {
+        if (nowMs - atMs > TTL_MS && nextRetryAtMs < nowMs) standings.delete(account);
       }
     },
   };
--- a/src/core/account-quotas/testing/quota-fleet.ts
+++ b/src/core/account-quotas/testing/quota-fleet.ts
@@ -5,60 +5,62 @@
 import type { AccountQuotas } from '../create-account-quotas';
 import type { QuotaPeer } from '../types';
 
-/** A fleet of instances that hold quotas, on a clock that is moved, with messages that take their time. */
+/** Simulates a fleet of instances that enforce quotas, on a stepped clock and with message delays. */
 
-/** One request of a client. */
+/** A request of a client. */
 export interface QuotaArrival {
   readonly atMs: number;
   readonly account: string;
   readonly cost: number;
-  /** Number of the instance that it is sent to. */
+  /** Index of the instance that it is sent to. */
   readonly instance: number;
 }
 
-/** What became of it. */
+/** Outcome of an arrival. */
 export interface QuotaOutcome extends QuotaArrival {
   readonly kind: 'granted' | 'spent' | 'unreachable';
-  /** When that was decided. */
+  /** When the decision was made. */
   readonly decidedAtMs: number;
 }
 
-/** What is played. */
+/** Options of a simulation. */
 export interface QuotaFleetOptions {
   readonly instances: number;
   readonly seed?: number;
-  /** Quota of each account at a time. */
+  /** Returns the quota of an account at a time. */
   readonly quotaOf: (account: string, atMs: number) => AccountQuota;
-  /** Whether messages from one region to another are lost. */
-  readonly isCut?: (from: string, to: string, atMs: number) => boolean;
-  /** Whether an instance is cut off from all others. */
-  readonly isAlone?: (instance: number, atMs: number) => boolean;
-  /** Times at which an instance is killed and started anew. */
+  /** Returns whether messages from one region to another are lost. */
+  readonly isPartitioned?: (from: string, to: string, atMs: number) => boolean;
+  /** Returns whether an instance is isolated from all others. */
+  readonly isIsolated?: (instance: number, atMs: number) => boolean;
+  /** Returns the times at which an instance is killed and restarted. */
   readonly restartsAtMs?: (instance: number) => readonly number[];
-  /** Part of the messages that is lost, and that arrives twice. */
+  /** Share of the messages that are lost. */
   readonly lostShare?: number;
+  /** Share of the messages that arrive twice. */
   readonly repeatedShare?: number;
   readonly arrivals: readonly QuotaArrival[];
-  /** Told of each message from one instance to another. */
+  /** Called for each message from one instance to another. */
   readonly onSent?: (from: number, to: number, text: string) => void;
   readonly durationMs: number;
 }
 
-/** Regions of all fleets. */
+/** Regions of the fleet; instances are assigned to them in turn. */
 export const QUOTA_REGIONS = ['north', 'east', 'south'];
 
 const EPOCH_UNIX_MS = 1_767_225_600_000;
 const STEP_MS = 5;
+/** Interval between two calls by which an instance sends its reports, ms. */
 const TICK_MS = 50;
-/** One way within a region, and between two of them, ms. */
-const NEAR_MS = 1;
-const FAR_MS = 60;
-/** Time until a started instance and the others know one another, ms. */
-const KNOWN_AFTER_MS = 500;
-/** Time for which an instance that does not answer is still believed to be there, ms. */
-const BELIEVED_FOR_MS = 2_000;
+/** One-way message delay within a region and between two regions, ms. */
+const SAME_REGION_DELAY_MS = 1;
+const CROSS_REGION_DELAY_MS = 60;
+/** Time until a started instance and the others have discovered one another, ms. */
+const DISCOVERY_DELAY_MS = 500;
+/** Time for which an unreachable instance is still considered alive, ms. */
+const FAILURE_DETECTION_MS = 2_000;
 
-/** A clock that moves in steps; what is scheduled runs at the first step that is not before it. */
+/** Creates a clock that moves in steps. A scheduled callback runs at the first step at or after its time. */
 function createSteppedClock() {
   let atMs = 0;
   const due = new Map<number, { run: (() => void) | undefined }[]>();
@@ -87,44 +89,47 @@
   return { clock, advanceTo };
 }
 
-interface PlayedInstance {
+interface SimulatedInstance {
   readonly peer: QuotaPeer;
   quotas: AccountQuotas;
   startedAtMs: number;
   life: number;
 }
 
-/** The region of an instance. */
+/** Returns the region of an instance. */
 export function regionOf(instance: number): string {
   return QUOTA_REGIONS[instance % QUOTA_REGIONS.length] ?? '';
 }
 
-/** Plays arrivals to a fleet; the same seed gives the same outcomes. */
+/** Simulates arrivals at a fleet. The same seed gives the same outcomes. */
 export function playQuotas(options: QuotaFleetOptions): readonly QuotaOutcome[] {
   const { clock, advanceTo } = createSteppedClock();
   const random = createSeededRandom(options.seed ?? 1);
   const nowMs = () => clock.monotonicMs();
   const outcomes: QuotaOutcome[] = [];
-  const instances: PlayedInstance[] = [];
+  const instances: SimulatedInstance[] = [];
   const regions = QUOTA_REGIONS.slice(0, options.instances);
 
-  const isOff = (instance: number, atMs: number): boolean =>
-    options.isAlone?.(instance, atMs) === true;
-  const isAnyoneCut = options.isAlone !== undefined || options.isCut !== undefined;
+  const isInstanceIsolated = (instance: number, atMs: number): boolean =>
+    options.isIsolated?.(instance, atMs) === true;
+  const hasPartitions = options.isIsolated !== undefined || options.isPartitioned !== undefined;
 
   const isLost = (from: number, to: number): boolean => {
     const [fromRegion, toRegion] = [regionOf(from), regionOf(to)];
-    if (fromRegion !== toRegion && options.isCut?.(fromRegion, toRegion, nowMs()) === true) {
+    if (
+      fromRegion !== toRegion &&
+      options.isPartitioned?.(fromRegion, toRegion, nowMs()) === true
+    ) {
       return true;
     }
-    const isAlone = isOff(from, nowMs()) || isOff(to, nowMs());
-    return isAlone || random.next() < (options.lostShare ?? 0);
+    const isEitherIsolated = isInstanceIsolated(from, nowMs()) || isInstanceIsolated(to, nowMs());
+    return isEitherIsolated || random.next() < (options.lostShare ?? 0);
   };
 
   const deliver = (from: number, to: number, text: string): void => {
     options.onSent?.(from, to, text);
     const times = random.next() < (options.repeatedShare ?? 0) ? 2 : 1;
-    const delayMs = regionOf(from) === regionOf(to) ? NEAR_MS : FAR_MS;
+    const delayMs = regionOf(from) === regionOf(to) ? SAME_REGION_DELAY_MS : CROSS_REGION_DELAY_MS;
     const target = instances[to];
     if (target === undefined || isLost(from, to)) return;
     const { life } = target;
@@ -136,19 +141,20 @@
   };
 
   const wasReachable = (from: number, to: number, atMs: number): boolean => {
-    if (!isAnyoneCut) return true;
+    if (!hasPartitions) return true;
     const [fromRegion, toRegion] = [regionOf(from), regionOf(to)];
-    const isCut = fromRegion !== toRegion && options.isCut?.(fromRegion, toRegion, atMs) === true;
-    return !isOff(from, atMs) && !isOff(to, atMs) && !isCut;
+    const isPartitioned =
+      fromRegion !== toRegion && options.isPartitioned?.(fromRegion, toRegion, atMs) === true;
+    return !isInstanceIsolated(from, atMs) && !isInstanceIsolated(to, atMs) && !isPartitioned;
   };
 
-  const knownTo = (from: number): readonly QuotaPeer[] =>
+  const peersKnownTo = (from: number): readonly QuotaPeer[] =>
     instances.flatMap(({ peer, startedAtMs }, to) => {
       const knowsSinceMs = Math.max(startedAtMs, instances[from]?.startedAtMs ?? 0);
-      const isKnown = nowMs() - knowsSinceMs >= KNOWN_AFTER_MS;
-      const isBelieved =
-        wasReachable(from, to, nowMs()) || wasReachable(from, to, nowMs() - BELIEVED_FOR_MS);
-      return to !== from && isKnown && isBelieved ? [peer] : [];
+      const isKnown = nowMs() - knowsSinceMs >= DISCOVERY_DELAY_MS;
+      const isConsideredAlive =
+        wasReachable(from, to, nowMs()) || wasReachable(from, to, nowMs() - FAILURE_DETECTION_MS);
+      return to !== from && isKnown && isConsideredAlive ? [peer] : [];
     });
 
   const start = (instance: number): AccountQuotas =>
@@ -159,7 +165,7 @@
         region: regionOf(instance),
         address: String(instance),
       }),
-      peers: () => knownTo(instance),
+      peers: () => peersKnownTo(instance),
       regions: () => regions,
       quotaOf: (account) => options.quotaOf(account, nowMs()),
       send: (address, text) => deliver(instance, Number(address), text),
@@ -175,7 +181,7 @@
     )
     .sort((left, right) => left.atMs - right.atMs);
 
-  const ask = (arrival: QuotaArrival): void => {
+  const submit = (arrival: QuotaArrival): void => {
     const { account, cost } = arrival;
     const quota = options.quotaOf(account, nowMs());
     instances[arrival.instance]?.quotas.require({ account, cost, quota }, ({ kind }) =>
@@ -190,23 +196,23 @@
     advanceTo(nowMs() + STEP_MS);
     for (; (restarts[nextRestart]?.atMs ?? Infinity) <= nowMs(); nextRestart += 1) {
       const index = restarts[nextRestart]?.instance ?? 0;
-      const played = instances[index];
-      if (played === undefined) continue;
-      played.quotas = start(index);
-      played.startedAtMs = nowMs();
-      played.life += 1;
+      const restarted = instances[index];
+      if (restarted === undefined) continue;
+      restarted.quotas = start(index);
+      restarted.startedAtMs = nowMs();
+      restarted.life += 1;
     }
     for (; (arrivals[next]?.atMs ?? Infinity) <= nowMs(); next += 1) {
       const arrival = arrivals[next];
-      if (arrival !== undefined) ask(arrival);
+      if (arrival !== undefined) submit(arrival);
     }
     if (nowMs() % TICK_MS === 0) for (const { quotas } of instances) quotas.tell();
   }
   return outcomes;
 }
 
-/** The most that was granted to an account in any span of `windowMs`. */
-export function mostGranted(
+/** Returns the maximum cost granted to an account within any window of `windowMs`. */
+export function maxGranted(
   outcomes: readonly QuotaOutcome[],
   account: string,
   windowMs: number,
@@ -214,41 +220,42 @@
   const granted = outcomes
     .filter((outcome) => outcome.account === account && outcome.kind === 'granted')
     .sort((left, right) => left.decidedAtMs - right.decidedAtMs);
-  let most = 0;
+  let maxSum = 0;
   let sum = 0;
-  let first = 0;
+  let windowStart = 0;
   for (const { decidedAtMs, cost } of granted) {
     sum += cost;
-    while ((granted[first]?.decidedAtMs ?? decidedAtMs) < decidedAtMs - windowMs) {
-      sum -= granted[first]?.cost ?? 0;
-      first += 1;
+    while ((granted[windowStart]?.decidedAtMs ?? decidedAtMs) < decidedAtMs - windowMs) {
+      sum -= granted[windowStart]?.cost ?? 0;
+      windowStart += 1;
     }
-    most = Math.max(most, sum);
+    maxSum = Math.max(maxSum, sum);
   }
-  return most;
+  return maxSum;
 }
 
-/** What an account asks, and where. */
+/** Request load of an account and its distribution over instances. */
 export interface AccountDemand {
   readonly account: string;
-  /** Cost that is asked each second. */
+  /** Cost requested per second. */
   readonly perSecond: number;
   readonly fromMs: number;
   readonly toMs: number;
-  /** The instance of a request at a time; `draw` is from 0 up to 1. */
+  /** Returns the instance that receives a request at a time; `draw` is in [0, 1). */
   readonly at: (atMs: number, draw: number) => number;
 }
 
-const KINDS = [
+/** Costs of requests, in tokens, and their shares of all requests. */
+const REQUEST_KINDS = [
   { cost: 9_250, share: 0.19 },
   { cost: 1_120, share: 0.58 },
   { cost: 200, share: 0.22 },
   { cost: 40_000, share: 0.01 },
 ];
-const MEAN_COST = KINDS.reduce((sum, { cost, share }) => sum + cost * share, 0);
+const MEAN_COST = REQUEST_KINDS.reduce((sum, { cost, share }) => sum + cost * share, 0);
 const MS_PER_S = 1_000;
 
-/** Arrivals of all sizes that add up to the demand, drawn evenly in time. */
+/** Draws arrivals as a Poisson process over the time span of the demand. Their costs match its rate on average. */
 export function drawArrivals(demand: AccountDemand, seed: number): readonly QuotaArrival[] {
   const random = createSeededRandom(seed);
   const perMs = demand.perSecond / MEAN_COST / MS_PER_S;
@@ -258,7 +265,7 @@
     atMs += -Math.log(1 - random.next()) / perMs;
     if (atMs >= demand.toMs) return arrivals;
     let draw = random.next();
-    const kind = KINDS.find(({ share }) => {
+    const kind = REQUEST_KINDS.find(({ share }) => {
       draw -= share;
       return draw < 0;
     });
--- a/src/core/account-quotas/types.ts
+++ b/src/core/account-quotas/types.ts
@@ -1,48 +1,48 @@
 import type { AccountQuota } from '../client-accounts';
 
-/** How instances find and reach one another, for the counting of quotas. */
+/** Identity and address of an instance that takes part in counting quotas. */
 export interface QuotaPeer {
   readonly instanceId: string;
   readonly region: string;
-  /** Where it takes messages. */
+  /** Address at which it receives messages. */
   readonly address: string;
 }
 
-/** One request of an account, as far as its quota goes. */
+/** Quota and cost of one request of an account. */
 export interface QuotaRequest {
   readonly account: string;
   readonly quota: AccountQuota;
-  /** In the unit of the quota. */
+  /** Cost of the request, in the unit of the quota. */
   readonly cost: number;
 }
 
-/** Where a quota stands at the instance that counts it. */
+/** State of a quota at the instance that counts it. */
 export interface QuotaStanding {
-  /** What may be spent now; below 0 where more has been spent. */
+  /** Remaining quota that may be spent now; below 0 if overspent. */
   readonly left: number;
-  /** Regions of which nothing has been heard about the account lately. */
+  /** Regions that have not reported on the account within the last 700 ms. */
   readonly unheardRegions: readonly string[];
 }
 
-/** Whether a request is inside the quota of its account. */
+/** Decision on whether a request is within the quota of its account. */
 export type QuotaDecision =
   | { readonly kind: 'granted' }
-  /** The account has spent what it may; it has enough for this request after that time, ms. */
+  /** The account has spent its quota; the request may be retried after `retryAfterMs`. */
   | { readonly kind: 'spent'; readonly retryAfterMs: number; readonly standing: QuotaStanding }
-  /** Nobody who counts the account's requests answers. */
+  /** No instance that counts the account answers. */
   | { readonly kind: 'unreachable'; readonly retryAfterMs: number };
 
-/** What one instance tells others of its count of an account. */
-export interface ToldCount {
+/** Report of an instance on its count of an account, sent to the other instances that count it. */
+export interface CountReport {
   readonly account: string;
-  /** Names the count: another one begins anew, after a restart for example. */
+  /** Identifies the count. A new one starts from 0, for example after a restart. */
   readonly countId: number;
-  /** Spent at the teller's word since it began to count, what was given back left out. */
+  /** Cost counted by the sender since its count began, less refunds. */
   readonly total: number;
-  /** Spent at its word each second, lately. */
+  /** Moving average of the cost counted by the sender per second. */
   readonly perSecond: number;
-  /** What is left of the account's quota over all regions, as the teller knows. */
+  /** Remaining quota of the account over all regions, as far as the sender knows. */
   readonly left: number;
-  /** Whether the teller has run for long enough to know what others count. */
+  /** Whether the sender has run, or kept this count, long enough to have received the counts of others. */
   readonly isSettled: boolean;
 }
--- a/src/core/client-accounts/account-index.ts
+++ b/src/core/client-accounts/account-index.ts
@@ -1,33 +1,36 @@
 import type { ClientAccount } from './types';
 
-/** Finds the accounts of one version of the configuration. */
+/** Looks up the accounts of one version of the configuration. */
 export interface AccountIndex {
-  /** The account that holds a key, by the key's digest; undefined where none does, or more than one. */
+  /** Returns the account that has a key, by the digest of the key; undefined if no account or several have it. */
   byKeyDigest(digest: string): ClientAccount | undefined;
+  /** Returns the account of this name, if any. */
   byName(name: string): ClientAccount | undefined;
-  /** Accounts that hold a key which another one holds as well. */
+  /** Names of the accounts that have a key in common with another account. */
   readonly sharingKeys: readonly string[];
 }
 
 /**
- * An index over accounts.
+ * Creates an index of accounts.
  *
- * A key that two accounts hold names neither: served for one of them, a request could read what belongs to the other, and
- * nobody would notice. The other keys of both hold.
+ * A key that several accounts have identifies none of them: if a request were served for one account, it could read
+ * data of another one unnoticed. The other keys of these accounts stay valid.
  */
 export function createAccountIndex(accounts: readonly ClientAccount[]): AccountIndex {
-  const holders = new Map<string, ClientAccount[]>();
+  const accountsByDigest = new Map<string, ClientAccount[]>();
   for (const account of accounts) {
     for (const digest of new Set(account.keyDigests)) {
-      holders.set(digest, [...(holders.get(digest) ?? []), account]);
+      accountsByDigest.set(digest, [...(accountsByDigest.get(digest) ?? []), account]);
     }
   }
   const byName = new Map(accounts.map((account) => [account.name, account]));
-  const shared = [...holders.values()].filter((some) => some.length > 1).flat();
+  const shared = [...accountsByDigest.values()]
+    .filter((accountsOfKey) => accountsOfKey.length > 1)
+    .flat();
   return {
     byKeyDigest(digest) {
-      const some = holders.get(digest) ?? [];
-      return some.length === 1 ? some[0] : undefined;
+      const accountsOfKey = accountsByDigest.get(digest) ?? [];
+      return accountsOfKey.length === 1 ? accountsOfKey[0] : undefined;
     },
     byName: (name) => byName.get(name),
     sharingKeys: [...new Set(shared.map(({ name }) => name))],
--- a/src/core/client-accounts/handling-regions.ts
+++ b/src/core/client-accounts/handling-regions.ts
@@ -1,11 +1,14 @@
-/** Where a request may be handled. */
+/** Regions in which a request may be handled. */
 export type HandlingRegions =
   | { readonly kind: 'anywhere' }
   | { readonly kind: 'only'; readonly regions: readonly string[] }
-  /** Its route and its account have no region in common. */
+  /** The route and the account of the request have no region in common. */
   | { readonly kind: 'nowhere' };
 
-/** Where a request may be handled; an empty list of home regions binds nothing, and both lists bind together. */
+/**
+ * Returns the regions in which a request may be handled: those that both the route and the account allow. An empty list
+ * allows all regions.
+ */
 export function handlingRegions(
   routeRegions: readonly string[],
   accountRegions: readonly string[],
--- a/src/core/client-accounts/identify.ts
+++ b/src/core/client-accounts/identify.ts
@@ -2,25 +2,25 @@
 import type { AccountIndex } from './account-index';
 import type { ClientAccount } from './types';
 
-/** Who sends a request. */
+/** Identity of the caller that sent a request. */
 export type Identity =
   | { readonly kind: 'account'; readonly account: ClientAccount }
-  /** Nobody in particular, where nobody has to be known. */
+  /** An anonymous caller, where no key is required. */
   | { readonly kind: 'anyone' }
-  /** Nobody who may ask. */
+  /** A caller without a valid key, where one is required. */
   | { readonly kind: 'unknown' };
 
-/** What an identity is found by. */
+/** Input for identifying the caller that sent a request. */
 export interface IdentifyInput {
-  /** Undefined where the configuration has no accounts, so that requests need no key. */
+  /** Undefined if the configuration has no accounts, so that requests need no key. */
   readonly accounts: AccountIndex | undefined;
-  /** Whether the route takes requests without a key. */
+  /** Whether the route accepts requests without a key. */
   readonly isPublicRoute: boolean;
-  /** The key as it was sent; undefined for none. */
+  /** The key as it was sent; undefined if there was none. */
   readonly key: string | undefined;
 }
 
-/** Finds who sends a request; a known key counts on a public route as well. */
+/** Identifies the caller that sent a request. A known key identifies its account on public routes, too. */
 export function identify({ accounts, isPublicRoute, key }: IdentifyInput): Identity {
   if (accounts === undefined) return { kind: 'anyone' };
   const account = key === undefined ? undefined : accounts.byKeyDigest(keyDigest(key));
--- a/src/core/client-accounts/index.ts
+++ b/src/core/client-accounts/index.ts
@@ -1,4 +1,4 @@
-/** Who sends a request, by its key, and what that account may do. */
+/** Identifies the client account of a request by its key, and describes what the account may do. */
 export { createAccountIndex } from './account-index';
 export type { AccountIndex } from './account-index';
 export { handlingRegions } from './handling-regions';
--- a/src/core/host-routes/host-routes.test.ts
+++ b/src/core/host-routes/host-routes.test.ts
@@ -38,7 +38,7 @@
   route('other host', 'b.example', '/plans/'),
 ];
 
-describe('the route of a request', () => {
+describe('route selection', () => {
   const selector = createRouteSelector(table(1, ROUTES));
   const cases: readonly (readonly [string, string, string | undefined])[] = [
     ['a.example', '/plans/7', 'plans'],
@@ -52,13 +52,13 @@
     ['c.example', '/plans/7', undefined],
   ];
   for (const [host, path, expected] of cases) {
-    it(`for ${host}${path} is ${expected ?? 'none'}`, () => {
+    it(`for ${host}${path} selects ${expected ?? 'none'}`, () => {
       assert.equal(selector.select(host, path)?.name, expected);
     });
   }
 
-  // The routes of one host are bound to different regions, and no region may serve all of them.
-  it('tells in which regions the most bound routes of its host may be served', () => {
+  // The routes of one host may be bound to different regions, so that no single region may serve all of them.
+  it('returns the regions that the largest number of region-bound routes of a host allow', () => {
     const bound = createRouteSelector(
       table(1, [
         { ...route('free', 'a.example', '/'), homeRegions: [] },
@@ -76,7 +76,7 @@
     assert.deepEqual(bound.homeRegions('d.example'), ['north', 'south']);
   });
 
-  it('shares its requests out by weight', () => {
+  it('distributes requests over the targets by weight', () => {
     const split: HostRoute = {
       ...route('split', 'a.example', '/'),
       targets: [
@@ -91,9 +91,10 @@
   });
 });
 
-describe('the version in force', () => {
-  // An older version comes last, by another way. Requests would go to services that were taken out of a route.
-  it('only ever rises', () => {
+describe('the route table in force', () => {
+  // An older version may arrive last, by another way. If it were accepted, requests would go to services that were
+  // removed from a route.
+  it('is replaced only by higher versions', () => {
     const store = createRouteTableStore();
     assert.equal(store.offer(table(5, ROUTES)), true);
     assert.equal(store.offer(table(4, [])), false);
--- a/src/core/host-routes/index.ts
+++ b/src/core/host-routes/index.ts
@@ -1,4 +1,4 @@
-/** Routes by host and path, in numbered versions that never go back. */
+/** Routes by host and path, in numbered versions that only increase. */
 export { createRouteTableStore } from './route-table-store';
 export type { RouteTableStore, RoutesInForce } from './route-table-store';
 export { createRouteSelector, pickTarget } from './select-route';
--- a/src/core/host-routes/route-table-store.ts
+++ b/src/core/host-routes/route-table-store.ts
@@ -5,29 +5,30 @@
 import type { RouteSelector } from './select-route';
 import type { RouteTable } from './types';
 
-/** The version in force with its index. */
+/** The route table in force with its indexes. */
 export interface RoutesInForce {
   readonly table: RouteTable;
   readonly selector: RouteSelector;
-  /** Undefined where requests need no key. */
+  /** Undefined if requests need no key. */
   readonly accounts: AccountIndex | undefined;
 }
 
-/** Holds the version in force. */
+/** Holds the route table in force. */
 export interface RouteTableStore {
+  /** Returns the routes in force; undefined before the first table is accepted. */
   current(): RoutesInForce | undefined;
-  /** Puts a version in force unless it is older than the one that is; says whether it did. */
+  /** Puts a table in force if its version is higher than the one in force. Returns whether it did. */
   offer(table: RouteTable): boolean;
-  /** The same, for a version that was written anew: its contents go before others under the same number. */
+  /** Like `offer`, for a rewritten table: different contents under the same version also replace those in force. */
   offerAgain(table: RouteTable): boolean;
 }
 
 /**
- * A store without a version.
+ * Creates a store of the route table in force, which is empty until the first table is accepted.
  *
- * Versions reach an instance by several ways (a watch, a list read, another instance), and an older one can
- * come last. Going back would send requests to services that an operator has already taken out of a route, so
- * only a higher version is ever taken.
+ * Versions reach an instance in several ways (a watch, a list read, another instance), and an older one can arrive
+ * last. Reverting to it would send requests to services that an operator has already removed from a route. Therefore
+ * an older version is never accepted.
  */
 export function createRouteTableStore(): RouteTableStore {
   let inForce: RoutesInForce | undefined;
@@ -42,9 +43,9 @@
       inForce === undefined || table.version > inForce.table.version ? putInForce(table) : false,
     offerAgain(table) {
       if (inForce === undefined || table.version > inForce.table.version) return putInForce(table);
-      const isAnother =
+      const isChanged =
         table.version === inForce.table.version && !isDeepStrictEqual(table, inForce.table);
-      return isAnother ? putInForce(table) : false;
+      return isChanged ? putInForce(table) : false;
     },
   };
 }
--- a/src/core/host-routes/select-route.ts
+++ b/src/core/host-routes/select-route.ts
@@ -1,10 +1,13 @@
 import type { HostRoute, RouteTable } from './types';
 
-/** Finds routes of one version. */
+/** Selects routes from one version of the route table. */
 export interface RouteSelector {
-  /** The route of the host whose prefix is the longest that begins the path; undefined where none does. */
+  /** Returns the route of the host with the longest prefix that matches the path; undefined if none matches. */
   select(host: string, path: string): HostRoute | undefined;
-  /** Regions in which the most bound routes of the host may be served; empty where none is bound. */
+  /**
+   * Returns the regions that are allowed by the largest number of the host's region-bound routes; empty if no route is
+   * bound to regions.
+   */
   homeRegions(host: string): readonly string[];
 }
 
@@ -15,11 +18,11 @@
   return queryAt === -1 ? path : path.slice(0, queryAt);
 }
 
-function nameOf(host: string): string {
+function normalizeHost(host: string): string {
   return host.toLowerCase().replace(PORT_SUFFIX, '');
 }
 
-/** Indexes a table by host, the longest prefix first, so that a look-up ends at the first match. */
+/** Creates a selector that indexes a table by host, longest prefix first, so that a lookup ends at the first match. */
 export function createRouteSelector(table: RouteTable): RouteSelector {
   const byHost = new Map<string, HostRoute[]>();
   for (const route of table.routes) {
@@ -33,29 +36,31 @@
   return {
     select(host, path) {
       const pathOnly = withoutQuery(path);
-      return byHost.get(nameOf(host))?.find((route) => pathOnly.startsWith(route.pathPrefix));
+      return byHost
+        .get(normalizeHost(host))
+        ?.find((route) => pathOnly.startsWith(route.pathPrefix));
     },
     homeRegions(host) {
-      const bound = (byHost.get(nameOf(host)) ?? []).filter(
+      const bound = (byHost.get(normalizeHost(host)) ?? []).filter(
         (route) => route.homeRegions.length > 0,
       );
       const counts = new Map<string, number>();
       for (const region of bound.flatMap((route) => route.homeRegions)) {
         counts.set(region, (counts.get(region) ?? 0) + 1);
       }
-      const most = Math.max(0, ...counts.values());
-      return [...counts].filter(([, count]) => count === most).map(([region]) => region);
+      const maxCount = Math.max(0, ...counts.values());
+      return [...counts].filter(([, count]) => count === maxCount).map(([region]) => region);
     },
   };
 }
 
-/** Picks the service of one request; `draw` is from 0 up to 1. */
+/** Picks the service of one request by the weights of the targets; `draw` is a random number in [0, 1). */
 export function pickTarget(route: HostRoute, draw: number): string | undefined {
   const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
-  let left = draw * total;
+  let remaining = draw * total;
   for (const target of route.targets) {
-    left -= target.weight;
-    if (left < 0) return target.service;
+    remaining -= target.weight;
+    if (remaining < 0) return target.service;
   }
   return route.targets.at(-1)?.service;
 }
--- a/src/core/host-routes/types.ts
+++ b/src/core/host-routes/types.ts
@@ -1,66 +1,66 @@
 import type { ClientAccount } from '../client-accounts';
 
-/** Routes that are chosen by host and path, as one numbered configuration holds them. */
+/** Types of the routes by host and path in one version of the configuration. */
 
 /**
- * What may be repeated: an idempotent request may run more than once; a non-idempotent one at most once; an
- * event stream is non-idempotent unless it may be resumed.
+ * Repeatability of the requests of a route. An idempotent request may run more than once, a non-idempotent one at most
+ * once. An event stream is non-idempotent unless it is resumable.
  */
 export type RouteKind = 'idempotent' | 'nonIdempotent' | 'stream';
 
-/** One service that a route leads to, with its share of the requests. */
+/** A service that a route sends requests to, with its share of them. */
 export interface RouteTarget {
   readonly service: string;
   /** Share relative to the other targets of the route. */
   readonly weight: number;
 }
 
-/** One route. */
+/** A route. */
 export interface HostRoute {
   readonly name: string;
-  /** Host in lower case, without a port. */
+  /** Host in lower case, without port. */
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** Whether a broken stream may go on at another backend server after its last whole event. */
+  /** Whether an interrupted stream may continue at another backend server after its last complete event. */
   readonly isResumable: boolean;
-  /** Longest time that a request may be kept waiting, ms. */
+  /** Timeout from the receipt of a request to its answer, ms. */
   readonly timeoutMs: number;
-  /** Latency objective: to the whole answer, or to the first event of a stream, ms. */
+  /** Latency objective, ms: time to the complete answer or to the first event of a stream. */
   readonly objectiveMs: number;
-  /** Longest pause between two events of a stream that is still in time, ms; undefined where any is. */
+  /** Maximum pause between two events of a stream that meets the objective, ms; undefined if any pause does. */
   readonly pauseObjectiveMs: number | undefined;
-  /** Rank among routes; 0 is the most urgent. */
+  /** Priority among routes; 0 is the most urgent. */
   readonly priority: number;
-  /** Backend servers to which one request may be sent. */
+  /** Maximum number of backend servers to which one request may be sent. */
   readonly maxAttempts: number;
   readonly targets: readonly RouteTarget[];
-  /** Regions to which the request is bound; empty where it is bound to none. */
+  /** Regions in which requests may be handled; empty if all are allowed. */
   readonly homeRegions: readonly string[];
-  /** Whether it takes requests without a key, where the configuration has accounts. */
+  /** Whether the route accepts requests without a key even if the configuration has accounts. */
   readonly isPublic: boolean;
 }
 
-/** One service with what its backend servers bear. */
+/** A service and the limits of its backend servers. */
 export interface RoutedService {
   readonly name: string;
-  /** Connections that one backend server takes from all instances together. */
+  /** Maximum number of connections to one backend server from all instances together. */
   readonly maxConnections: number;
-  /** Time for which a backend server is cold after its start, ms; 0 where it never is. */
+  /** Time after its start for which a backend server counts as cold, ms; 0 if it never does. */
   readonly coldStartMs: number;
-  /** Requests a second that a cold backend server bears from all instances together; 0 where unlimited. */
+  /** Maximum requests per second to a cold backend server from all instances together; 0 for no limit. */
   readonly coldRequestsPerSecond: number;
   /** Path of the health check of its backend servers. */
   readonly healthPath: string;
   /**
-   * Time that one of its backend servers takes to copy one prompt token from the cache of another, ms; undefined where
-   * they cannot.
+   * Time that a backend server takes to copy one prompt token from the cache of another one, ms; undefined if they
+   * cannot copy.
    */
   readonly copyMsPerToken: number | undefined;
 }
 
-/** What a client may send, and how slowly. */
+/** Limits on the size of client requests and on how slowly they may be sent. */
 export interface ClientLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -68,15 +68,15 @@
   readonly idleTimeoutMs: number;
 }
 
-/** One version of the routes. */
+/** One version of the route table. */
 export interface RouteTable {
-  /** Rises with each version, in uneven steps. */
+  /** Increases with each version, not always by 1. */
   readonly version: number;
   readonly routes: readonly HostRoute[];
   readonly services: ReadonlyMap<string, RoutedService>;
   readonly limits: ClientLimits;
-  /** Undefined where requests need no key. */
+  /** Undefined if requests need no key. */
   readonly accounts: readonly ClientAccount[] | undefined;
-  /** Accounts that could not be read, each with the reason; their keys are held by nobody. */
+  /** Accounts that could not be read, each with the reason; their keys belong to no account. */
   readonly damagedAccounts?: readonly string[];
 }
--- a/src/core/key-digest/index.ts
+++ b/src/core/key-digest/index.ts
@@ -1,6 +1,6 @@
 import { createHash } from 'node:crypto';
 
-/** The SHA-256 digest of a key, in hexadecimal; the configuration in memory holds digests and no keys. */
+/** Returns the SHA-256 digest of a key, in hexadecimal. The configuration in memory holds digests instead of keys. */
 export function keyDigest(key: string): string {
   return createHash('sha256').update(key).digest('hex');
 }
