--- a/src/core/admission/adaptive-limit.ts
+++ b/src/core/admission/adaptive-limit.ts
@@ -1,68 +1,72 @@
 import { gradientRule } from './gradient-rule';
 import type { AdaptiveLimit, LimitRule } from './types';
 
-/** Answers after which a limit is set anew: enough that one long request does not decide alone. */
+/** Number of answers after which the limit is updated: enough that one long request does not decide alone. */
 const WINDOW_ANSWERS = 20;
 
-/** Where answers come seldom, a limit is also set anew after this time and so many answers. */
+/** Where answers are rare, the limit is also updated after this time, given the number of answers below. */
 const SLOW_WINDOW_MS = 2_000;
 const SLOW_WINDOW_ANSWERS = 3;
 
-/** Requests of mean size that a server's fresh limit allows; it doubles with each used window until strain. */
-export const FIRST_LIMIT_REQUESTS = 4;
+/**
+ * Initial limit of a server, in requests of mean size. It doubles with each fully used window until the first
+ * overload.
+ */
+export const INITIAL_LIMIT_REQUESTS = 4;
 
-/** Weight of the latest answer in the mean size of requests. */
+/** Weight of the latest answer in the moving average of request sizes. */
 const MEAN_WEIGHT = 0.05;
 
-/** Share of a limit that stays when a server reports requests waiting in its own queue. */
-const SERVER_QUEUE_KEPT_SHARE = 0.95;
+/** Factor applied to the limit when a server reports requests waiting in its own queue. */
+const SERVER_QUEUE_LIMIT_FACTOR = 0.95;
 
-/** Options of a limit. */
+/** Options of an adaptive limit. */
 export interface AdaptiveLimitOptions {
-  /** Work of a request, as long as none was seen. */
-  readonly firstRequestUnits: number;
-  /** Requests that are allowed before anything was seen. */
-  readonly firstLimitRequests?: number;
-  /** Stretch above which the limit shrinks. */
+  /** Assumed work of a request until one has ended. */
+  readonly initialRequestUnits: number;
+  /** Initial limit, in requests; `INITIAL_LIMIT_REQUESTS` by default. */
+  readonly initialLimitRequests?: number;
+  /** Stretch (measured relative to expected latency) above which the limit decreases. */
   readonly tolerance: number;
   readonly rule?: LimitRule;
 }
 
 /**
- * A limit on the work in flight, for one server or for all servers of a service as one instance uses them.
+ * Creates a limit on the work in flight, for one server or for all servers of a service as used by this instance.
  *
- * It answers saturation, a slow server and a change of the work's mix. It rests on what this instance sees itself:
- * what it has in flight is exact, where a load report is already some hundred ms old. Other instances need no
- * message to be allowed for: the latency that they cause shows in the stretch, and each instance's limit then
- * settles at its part. Answers to requests that began before the last change tell of the limit before it and are
- * passed over; counted, they would make the limit swing. One request is always allowed, so that a server can show that it has recovered.
+ * The limit adapts to saturation, to slow servers and to changes in the mix of requests. It uses only what this
+ * instance observes: its own work in flight is exact, whereas a load report is already some hundred ms old. No
+ * messages between instances are needed: the latency that other instances cause shows in the stretch, so the limit
+ * of each instance settles at its share. Answers to requests that began before the last change reflect the previous
+ * limit and are ignored; counting them would make the limit oscillate. One request is always allowed, so that a
+ * server can show that it has recovered.
  */
 export function createAdaptiveLimit(options: AdaptiveLimitOptions): AdaptiveLimit {
   const rule = options.rule ?? gradientRule;
-  let meanRequestUnits = options.firstRequestUnits;
-  const firstLimitRequests = options.firstLimitRequests ?? FIRST_LIMIT_REQUESTS;
-  let limitUnits = firstLimitRequests * meanRequestUnits;
+  let meanRequestUnits = options.initialRequestUnits;
+  const initialLimitRequests = options.initialLimitRequests ?? INITIAL_LIMIT_REQUESTS;
+  let limitUnits = initialLimitRequests * meanRequestUnits;
   let inFlightUnits = 0;
   let inFlightRequests = 0;
   let peakUnits = 0;
-  let answers = 0;
-  let latencyMs = 0;
-  let expectedMs = 0;
+  let answerCount = 0;
+  let latencySumMs = 0;
+  let expectedSumMs = 0;
   let lastStretch = 1;
-  let hadStrain = false;
+  let hasSeenOverload = false;
   let changedAtMs = Number.NEGATIVE_INFINITY;
 
-  const setAnew = (nowMs: number) => {
-    lastStretch = latencyMs / expectedMs;
-    const seen = { limitUnits, peakUnits, meanRequestUnits, stretch: lastStretch };
-    const next = rule(seen, options.tolerance);
-    if (next < limitUnits) hadStrain = true;
-    const grewFirst = next > limitUnits && !hadStrain;
-    limitUnits = Math.max(meanRequestUnits, grewFirst ? 2 * limitUnits : next);
+  const updateLimit = (nowMs: number) => {
+    lastStretch = latencySumMs / expectedSumMs;
+    const window = { limitUnits, peakUnits, meanRequestUnits, stretch: lastStretch };
+    const next = rule(window, options.tolerance);
+    if (next < limitUnits) hasSeenOverload = true;
+    const isSlowStart = next > limitUnits && !hasSeenOverload;
+    limitUnits = Math.max(meanRequestUnits, isSlowStart ? 2 * limitUnits : next);
     changedAtMs = nowMs;
-    answers = 0;
-    latencyMs = 0;
-    expectedMs = 0;
+    answerCount = 0;
+    latencySumMs = 0;
+    expectedSumMs = 0;
     peakUnits = inFlightUnits;
   };
 
@@ -72,7 +76,7 @@
     inFlightUnits: () => inFlightUnits,
     inFlightRequests: () => inFlightRequests,
     hasRoom: () =>
-      inFlightRequests < (hadStrain ? 1 : firstLimitRequests) ||
+      inFlightRequests < (hasSeenOverload ? 1 : initialLimitRequests) ||
       inFlightUnits + meanRequestUnits / 2 <= limitUnits,
     hasSparseRoom: () => inFlightUnits - meanRequestUnits / 2 <= limitUnits,
     stretch: () => lastStretch,
@@ -88,18 +92,18 @@
       if (end.kind === 'withoutAnswer') return;
       if (nowMs - end.latencyMs < changedAtMs) return;
       meanRequestUnits += MEAN_WEIGHT * (units - meanRequestUnits);
-      answers += 1;
-      latencyMs += end.latencyMs;
-      expectedMs += end.expectedMs;
-      const isSlow = answers >= SLOW_WINDOW_ANSWERS && nowMs - changedAtMs >= SLOW_WINDOW_MS;
-      if (answers >= WINDOW_ANSWERS || isSlow) setAnew(nowMs);
+      answerCount += 1;
+      latencySumMs += end.latencyMs;
+      expectedSumMs += end.expectedMs;
+      const isSlow = answerCount >= SLOW_WINDOW_ANSWERS && nowMs - changedAtMs >= SLOW_WINDOW_MS;
+      if (answerCount >= WINDOW_ANSWERS || isSlow) updateLimit(nowMs);
     },
-    noteServerQueue(atMs, nowMs) {
+    decreaseForServerQueue(atMs, nowMs) {
       if (atMs < changedAtMs) return;
       changedAtMs = nowMs;
-      hadStrain = true;
-      const kept = Math.max(inFlightUnits, limitUnits) * SERVER_QUEUE_KEPT_SHARE;
-      limitUnits = Math.max(meanRequestUnits, Math.min(limitUnits, kept));
+      hasSeenOverload = true;
+      const reducedUnits = Math.max(inFlightUnits, limitUnits) * SERVER_QUEUE_LIMIT_FACTOR;
+      limitUnits = Math.max(meanRequestUnits, Math.min(limitUnits, reducedUnits));
     },
   };
 }
--- a/src/core/admission/admission.test.ts
+++ b/src/core/admission/admission.test.ts
@@ -5,12 +5,17 @@
 import type { AdmissionInput } from './decide-admission';
 import { gradientRule } from './gradient-rule';
 import { createLatencyBaseline } from './latency-baseline';
-import { LATEST_RETRY_MS, SOONEST_RETRY_MS, createRetrySlots } from './retry-slots';
+import { MAX_RETRY_DELAY_MS, MIN_RETRY_DELAY_MS, createRetrySlots } from './retry-slots';
 import { createServiceRate } from './service-rate';
 import type { AdaptiveLimit } from './types';
 
-/** Twenty answers in a row, each begun after the one before ended. */
-function answer(limit: AdaptiveLimit, fromMs: number, latencyMs: number, inFlight: number): number {
+/** Records twenty answers in a row, each begun after the previous one ended. */
+function recordAnswers(
+  limit: AdaptiveLimit,
+  fromMs: number,
+  latencyMs: number,
+  inFlight: number,
+): number {
   let nowMs = fromMs;
   for (let index = 0; index < inFlight - 1; index += 1) limit.begin(1);
   for (let index = 0; index < 20; index += 1) {
@@ -25,37 +30,37 @@
 }
 
 describe('an adaptive limit', () => {
-  const create = () => createAdaptiveLimit({ firstRequestUnits: 1, tolerance: 2 });
+  const create = () => createAdaptiveLimit({ initialRequestUnits: 1, tolerance: 2 });
 
-  it('grows while it is used and answers come as fast as on an idle server', () => {
+  it('grows while it is fully used and answers are as fast as on an idle server', () => {
     const limit = create();
-    answer(limit, 0, 100, 4);
+    recordAnswers(limit, 0, 100, 4);
     assert.equal(limit.limitUnits(), 8);
   });
 
-  it('does not grow while it is not used', () => {
+  it('does not grow while it is not fully used', () => {
     const limit = create();
-    answer(limit, 0, 100, 1);
+    recordAnswers(limit, 0, 100, 1);
     assert.equal(limit.limitUnits(), 4);
   });
 
-  // A server becomes ten times slower. Without a limit that follows, as many requests as before pile up on it
-  // and each caller that met it waits for seconds.
-  it('shrinks to one request on a server that became ten times slower, and never below', () => {
+  // A server becomes ten times slower. With a fixed limit, as many requests as before pile up on it and the caller
+  // of each waits for seconds.
+  it('decreases to one request on a server that became ten times slower, and never below', () => {
     const limit = create();
     let nowMs = 0;
-    for (let round = 0; round < 20; round += 1) nowMs = answer(limit, nowMs, 1_000, 1);
+    for (let round = 0; round < 20; round += 1) nowMs = recordAnswers(limit, nowMs, 1_000, 1);
     assert.equal(limit.limitUnits(), 1);
     assert.equal(limit.hasRoom(), true);
     limit.begin(1);
     assert.equal(limit.hasRoom(), false);
   });
 
-  // Requests that were sent before a limit shrank end slowly for a while. Counted against the new limit they
-  // would shrink it again and again, and the fleet would stand idle after each burst.
-  it('passes over answers to requests that began before its last change', () => {
+  // Requests that were sent before a limit decreased still end slowly for a while. If they counted against the new
+  // limit, they would decrease it again and again, and the fleet would be idle after each burst.
+  it('ignores answers to requests that began before its last change', () => {
     const limit = create();
-    const nowMs = answer(limit, 0, 1_000, 1);
+    const nowMs = recordAnswers(limit, 0, 1_000, 1);
     const changed = limit.limitUnits();
     for (let index = 0; index < 40; index += 1) {
       limit.begin(1);
@@ -64,12 +69,12 @@
     assert.equal(limit.limitUnits(), changed);
   });
 
-  it('shrinks once by a report of a queue in the server, and not by one older than its last change', () => {
+  it('decreases once after a report of a queue in the server, and not after one older than its last change', () => {
     const limit = create();
-    limit.noteServerQueue(100, 400);
+    limit.decreaseForServerQueue(100, 400);
     const once = limit.limitUnits();
     assert.ok(once < 4);
-    limit.noteServerQueue(300, 500);
+    limit.decreaseForServerQueue(300, 500);
     assert.equal(limit.limitUnits(), once);
   });
 });
@@ -77,10 +82,10 @@
 describe('the gradient rule', () => {
   const window = { limitUnits: 100, peakUnits: 100, meanRequestUnits: 1, stretch: 1 };
   const cases = [
-    { name: 'no strain, used', changes: {}, next: 105 },
-    { name: 'no strain, half used', changes: { peakUnits: 50 }, next: 100 },
-    { name: 'a little strain', changes: { stretch: 2.5 }, next: 80 },
-    { name: 'one odd window', changes: { stretch: 50 }, next: 70 },
+    { name: 'no overload, fully used', changes: {}, next: 105 },
+    { name: 'no overload, half used', changes: { peakUnits: 50 }, next: 100 },
+    { name: 'slight overload', changes: { stretch: 2.5 }, next: 80 },
+    { name: 'an outlier window', changes: { stretch: 50 }, next: 70 },
   ];
   for (const { name, changes, next } of cases) {
     it(name, () => assert.equal(gradientRule({ ...window, ...changes }, 2), next));
@@ -88,24 +93,24 @@
 });
 
 describe('a latency baseline', () => {
-  const learn = (latencies: readonly number[], mayRise: boolean) => {
+  const learn = (latencies: readonly number[], canRaise: boolean) => {
     const baseline = createLatencyBaseline();
-    latencies.forEach((latencyMs) => baseline.learn(1_000, latencyMs, mayRise));
+    latencies.forEach((latencyMs) => baseline.learn(1_000, latencyMs, canRaise));
     return baseline.expectedMs(1_000) ?? 0;
   };
 
-  // Overload lasts for minutes and every answer is slow. A baseline that followed would call that normal, and
-  // the limits would grow until the queue stands inside the servers.
+  // Overload lasts for minutes and every answer is slow. If the baseline followed, that would count as normal, the
+  // limits would grow and requests would queue inside the servers.
   it('does not rise while servers are busy', () => {
     assert.equal(learn([100, ...Array<number>(200).fill(900)], false), 100);
   });
 
-  it('rises when answers are slow with little to do, and falls with faster ones', () => {
+  it('rises when answers are slow at little load, and falls with faster ones', () => {
     assert.ok(learn([100, ...Array<number>(200).fill(900)], true) > 800);
     assert.ok(learn([900, ...Array<number>(200).fill(100)], false) < 150);
   });
 
-  it('tells sizes apart and scales to sizes not seen', () => {
+  it('distinguishes sizes and scales to unknown ones', () => {
     const baseline = createLatencyBaseline();
     assert.equal(baseline.expectedMs(500), undefined);
     baseline.learn(1_024, 1_000, true);
@@ -132,7 +137,7 @@
       expected: 'wait-outlasts-deadline',
     },
     {
-      name: 'work longer than the time left',
+      name: 'work longer than the remaining time',
       changes: { expectedServiceMs: 9_000 },
       expected: 'deadline-too-near',
     },
@@ -156,23 +161,23 @@
 });
 
 describe('retry times', () => {
-  // A thousand requests are refused in one second. Told the same second they would all come back together, be
-  // refused together and come again.
-  it('spread as fast as the service gets work done', () => {
+  // A thousand requests are refused in one second. With the same retry time, they would all come back together, be
+  // refused together and come back again.
+  it('are spread at the rate at which the service completes work', () => {
     const slots = createRetrySlots();
     const times = Array.from({ length: 100 }, () => slots.next(10, 0, 0.1, 0));
-    assert.equal(times[0], SOONEST_RETRY_MS);
-    assert.equal(times[10], SOONEST_RETRY_MS + 10 * 100);
+    assert.equal(times[0], MIN_RETRY_DELAY_MS);
+    assert.equal(times[10], MIN_RETRY_DELAY_MS + 10 * 100);
   });
 
-  it('lie neither too near nor beyond what can be foreseen', () => {
+  it('stay between the minimum and the maximum delay', () => {
     const slots = createRetrySlots();
-    assert.equal(slots.next(1, 0, 1, 0), SOONEST_RETRY_MS);
-    assert.equal(slots.next(1_000_000, 0, 0.001, 0), LATEST_RETRY_MS);
+    assert.equal(slots.next(1, 0, 1, 0), MIN_RETRY_DELAY_MS);
+    assert.equal(slots.next(1_000_000, 0, 0.001, 0), MAX_RETRY_DELAY_MS);
   });
 });
 
-test('a service’s rate follows from what is in flight and for how long', () => {
+test('the rate of a service is derived from the work in flight and its duration', () => {
   const rate = createServiceRate();
   assert.equal(rate.unitsPerMs(100), 0);
   for (let index = 0; index < 50; index += 1) rate.learn(10, 1_000);
--- a/src/core/admission/decide-admission.ts
+++ b/src/core/admission/decide-admission.ts
@@ -1,44 +1,44 @@
-/** What an admission decision rests on. All times are on the clock that `nowMs` is of. */
+/** Inputs of an admission decision. All times are on the clock of `nowMs`. */
 export interface AdmissionInput {
   readonly nowMs: number;
   readonly deadlineAtMs: number;
-  /** Wait until the request's turn, by what waits before it and how fast it goes, ms. */
+  /** Expected wait until the request's turn, from the work ahead of it and the rate at which work is done, ms. */
   readonly expectedWaitMs: number;
-  /** From its start to its end, by requests of its size, ms. */
+  /** Expected time from start to end for requests of its size, ms. */
   readonly expectedServiceMs: number;
-  /** Whether the queue is a standing one. */
+  /** Whether the queue is a standing queue, that is, the overload lasts. */
   readonly isQueueStanding: boolean;
-  /** Longest wait that is granted while it is, ms. */
+  /** Maximum expected wait to admit while the queue is standing, ms. */
   readonly standingWaitMs: number;
 }
 
-/** Whether a request that cannot begin at once may wait for its turn. */
+/** Whether a request that cannot start at once may wait for its turn. */
 export type AdmissionDecision =
   | { readonly kind: 'wait'; readonly latestStartAtMs: number }
   | {
       readonly kind: 'refuse';
       readonly reason: 'deadline-too-near' | 'wait-outlasts-deadline' | 'standing-queue';
-      /** By how much the expected wait is too long, ms. */
+      /** Excess of the expected wait over the permitted one, ms. */
       readonly excessMs: number;
     };
 
 /**
- * Share of the time until the latest start that the expected wait may take. Estimates err, and a request that
- * is admitted and then misses its deadline has cost a server's time, its caller's patience and somebody
- * else's place.
+ * Share of the time until the latest start that the expected wait may take. Estimates are inexact, and a request
+ * that is admitted and then misses its deadline has wasted server time, its caller's time and another request's
+ * turn.
  */
 const USABLE_WAIT_SHARE = 0.8;
 
-/** Where the expected duration is off, most requests still end in time with this much more of it. */
+/** Factor on the expected duration. Even where the estimate is off, most requests end within the product. */
 const SERVICE_MARGIN = 1.25;
 
 /**
- * Decides at once, on arrival: a request whose wait would outlast its deadline is refused now, while its caller
- * still has the time to do something else, and never held until the deadline is near.
+ * Decides on a request when it arrives. If its wait would outlast its deadline, it is refused now, while its caller
+ * still has time to react, and never held until the deadline is near.
  *
- * It answers bursts and saturation. Without it a queue takes in all that comes; under 1.5 times the capacity
- * each request then waits until its deadline and fails, after minutes nothing is answered in time any more,
- * and callers find out by timeout.
+ * Without this, a queue accepts everything during bursts and saturation. At 1.5 times the capacity, each request
+ * then waits until its deadline and fails. After minutes no request is answered in time any more, and callers find
+ * out by timeout.
  */
 export function decideAdmission(input: AdmissionInput): AdmissionDecision {
   const latestStartAtMs = input.deadlineAtMs - SERVICE_MARGIN * input.expectedServiceMs;
--- a/src/core/admission/gradient-rule.ts
+++ b/src/core/admission/gradient-rule.ts
@@ -1,38 +1,43 @@
 import type { LimitWindow } from './types';
 
 /**
- * Stretch up to which a limit grows. A full batch makes each request of an engine 1.5 to 2 times as slow as
- * alone while it raises throughput twentyfold; past that only the latency grows. A plain server's calls take
- * as long as alone until its workers are busy, so any stretch there is waiting. The limit of a whole service
- * is there for fleets in which an instance seldom has a second request at a server; where servers' own limits
- * can act it has to leave them alone, so it tolerates more.
+ * Stretch (latency relative to that at little load) up to which a limit grows. In a full batch, each request of an
+ * engine is 1.5 to 2 times as slow as alone while throughput rises twentyfold; beyond that only the latency grows.
+ * Requests to a plain server take as long as alone until its workers are busy, so any stretch there is waiting. The
+ * limit of a whole service is meant for fleets in which an instance seldom has a second request at a server. It must
+ * not interfere where the limits of single servers can act, so it tolerates more.
  */
 export const STRETCH_TOLERANCE = { engine: 3, plain: 1.05, service: 4 } as const;
 
-/** Least share of a limit that one window leaves, so that one odd window does not close a server. */
-const LEAST_KEPT_SHARE = 0.7;
+/** Minimum factor that one window applies to a limit, so that a single outlier does not close a server. */
+const MIN_WINDOW_FACTOR = 0.7;
 
-/** Use of a limit from which a window without strain lets it grow; an unused limit says nothing. */
-const USED_SHARE = 0.8;
+/**
+ * Use of the limit from which a window without overload lets it grow. The latency under an unused limit says
+ * nothing about it.
+ */
+const MIN_USE_TO_GROW = 0.8;
 
-/** Growth of a limit in a window, as a share of it; at least a part of a request. */
+/** Growth of a limit per window, as a share of it; `MIN_GROWTH_REQUESTS` is the minimum. */
 const GROWTH_SHARE = 0.05;
 
 /**
- * Part of a request by which a limit grows at least. Several instances that each go from one to two requests
- * at once would double what a server has.
+ * Minimum growth per window, in requests. If several instances each went from one to two requests at once, they
+ * would double the load of a server.
  */
-const GROWTH_REQUESTS = 0.1;
+const MIN_GROWTH_REQUESTS = 0.1;
 
 /**
- * Latency gradient: the limit shrinks in proportion to how far the stretch is above the tolerance, and grows by
- * a little where it was used and the stretch is below. A fixed limit is wrong as soon as the mix of work, the
- * version of a model or the number of instances changes: too low it wastes servers, too high it moves the queue
- * into them, where neither priority nor fairness reaches it.
+ * Computes the next limit by the latency gradient: the limit decreases in proportion to how far the stretch exceeds
+ * the tolerance, and grows slightly if it was used and the stretch is within the tolerance.
+ *
+ * A fixed limit is wrong as soon as the mix of requests, the version of a model or the number of instances changes.
+ * If it is too low, servers are underused; if too high, requests queue inside the servers, beyond the reach of
+ * priority and fairness.
  */
 export function gradientRule(window: LimitWindow, tolerance: number): number {
   const { limitUnits, peakUnits, meanRequestUnits, stretch } = window;
-  if (stretch > tolerance) return limitUnits * Math.max(LEAST_KEPT_SHARE, tolerance / stretch);
-  if (peakUnits < USED_SHARE * limitUnits) return limitUnits;
-  return limitUnits + Math.max(GROWTH_REQUESTS * meanRequestUnits, GROWTH_SHARE * limitUnits);
+  if (stretch > tolerance) return limitUnits * Math.max(MIN_WINDOW_FACTOR, tolerance / stretch);
+  if (peakUnits < MIN_USE_TO_GROW * limitUnits) return limitUnits;
+  return limitUnits + Math.max(MIN_GROWTH_REQUESTS * meanRequestUnits, GROWTH_SHARE * limitUnits);
 }
--- a/src/core/admission/types.ts
+++ b/src/core/admission/types.ts
@@ -1,37 +1,41 @@
-/** What a limit has seen since it last changed. */
+/** Measurements of a limit since its last change. */
 export interface LimitWindow {
   readonly limitUnits: number;
-  /** Most work in flight in the window. */
+  /** Maximum work in flight during the window. */
   readonly peakUnits: number;
-  /** Mean work of the requests that ended in it. */
+  /** Mean work of the requests that ended in the window. */
   readonly meanRequestUnits: number;
-  /** Latency of the requests that ended in it, against that of like requests on servers with little to do. */
+  /**
+   * Latency of the requests that ended in the window, relative to that of similar requests on servers with little
+   * load.
+   */
   readonly stretch: number;
 }
 
-/** Sets the next limit from what was seen; a stretch above `tolerance` is strain. */
+/** Returns the next limit for a window of measurements; a `stretch` above `tolerance` means overload. */
 export type LimitRule = (window: LimitWindow, tolerance: number) => number;
 
-/** How a request ended at a server, as far as its latency tells something. */
+/** How a request ended at a server, as far as its latency is informative. */
 export type RequestEnd =
   | { readonly kind: 'answered'; readonly latencyMs: number; readonly expectedMs: number }
-  /** Failed, refused or cancelled: its latency tells nothing about load. */
+  /** Failed, refused or cancelled: its latency says nothing about load. */
   | { readonly kind: 'withoutAnswer' };
 
-/** How much work may be in flight, adapted to what is seen. */
+/** Limit on the work in flight that adapts to measured latency. */
 export interface AdaptiveLimit {
   limitUnits(): number;
-  /** Mean work of a request of late. */
+  /** Recent mean work of a request. */
   meanRequestUnits(): number;
   inFlightUnits(): number;
   inFlightRequests(): number;
+  /** Returns whether another request may begin. */
   hasRoom(): boolean;
-  /** Whether there is room if one more request than the limit is allowed. */
+  /** Returns whether a request of a sparse flow may begin; it may exceed the limit by one request. */
   hasSparseRoom(): boolean;
-  /** Latency of late against servers with little to do; 1 before anything is known. */
+  /** Recent latency relative to that on servers with little load; 1 before any measurement. */
   stretch(): number;
   begin(units: number): void;
   end(units: number, end: RequestEnd, nowMs: number): void;
-  /** A report said that the server itself had requests waiting at `atMs`. */
-  noteServerQueue(atMs: number, nowMs: number): void;
+  /** Decreases the limit because the server reported requests waiting in its own queue at `atMs`. */
+  decreaseForServerQueue(atMs: number, nowMs: number): void;
 }
--- a/src/core/caller-limits/announcement.ts
+++ b/src/core/caller-limits/announcement.ts
@@ -3,79 +3,94 @@
 import type { AccountLimit } from './types';
 
 /**
- * When an instance tells the others what a caller asks of it.
+ * The latest demand of a caller that this instance sent to the other instances.
  *
- * Answers the size of the fleet: 340 instances that told of 18,000 accounts each few seconds would spend a
- * hundred times what control may cost. Only demand that is a notable part of the limit is told exactly, and only
- * when it changed. Demand below that is told by chance, as if it were that part, in such a proportion that the
- * sum over all instances is right on average: without it, a caller could stay below the mark at each of many
- * instances and get many times its limit.
+ * Announcing everything does not scale: with 340 instances, reporting 18,000 accounts every few seconds would cost
+ * a hundred times the budget for control traffic. So only demand that is a considerable share of the limit is
+ * announced exactly, and only when it changes. Smaller demand is sampled: with a probability in proportion to the
+ * demand, the instance announces a demand equal to that share, so that the sum over all instances is right on
+ * average. Without sampling, a caller could stay below the threshold at each of many instances and get many times
+ * its limit.
  */
 export interface Announcement {
   readonly perSecond: number;
   readonly atMs: number;
-  /** Whether the number was told by chance, for a smaller demand; it then lapses and is not withdrawn. */
-  readonly isDrawn: boolean;
+  /** Whether the number stands for a smaller, sampled demand. It then expires and is never withdrawn. */
+  readonly isSampled: boolean;
 }
 
-/** What instances tell one another about a caller. */
+/** Payload that instances exchange about the demand of a caller. */
 export const announcementSchema = z.strictObject({ perSecond: z.number().min(0) });
 
-/** Time for which exact demand stands once told, ms. */
-export const ANNOUNCEMENT_LASTS_MS = 15_000;
-/** The same for demand told by chance: the longer it stands, the fewer have to be told, ms. */
-export const DRAWN_LASTS_MS = 60_000;
-/** An announcement is made again after this time, so that it never lapses while demand lasts, ms. */
-const REPEAT_AFTER_MS = 10_000;
-/** Shortest time between two announcements of one caller, ms. */
-const LEAST_GAP_MS = 500;
-/** Demand that rose by this factor since it was told is told again at once. */
-const ROSE_BY = 1.5;
-/** Demand that fell to this part of what was told is told again; the rest is left to lapse. */
-const FELL_TO = 0.5;
-/** Notable part of the limit in a small fleet, and in the largest. */
-const FINEST_PART = 1 / 32;
-const COARSEST_PART = 1 / 4;
-/** The part grows with the fleet: at 1,000 instances it would be the whole limit. */
-const INSTANCES_FOR_WHOLE = 1_000;
+/** Time for which an announcement of exact demand is valid, ms. */
+export const EXACT_TTL_MS = 15_000;
+/** Time for which a sampled announcement is valid, ms. The longer it is, the fewer are needed. */
+export const SAMPLED_TTL_MS = 60_000;
+/** Interval after which an announcement is repeated while demand lasts, so that it never expires, ms. */
+const REPEAT_INTERVAL_MS = 10_000;
+/** Minimum interval between two announcements for one caller, ms. */
+const MIN_INTERVAL_MS = 500;
+/** Demand that rose by this factor since the last announcement is announced again at once. */
+const RISE_FACTOR = 1.5;
+/**
+ * Demand that fell to this share of the last announcement is announced again. Smaller drops wait until it expires.
+ */
+const FALL_FACTOR = 0.5;
+/**
+ * Bounds of the share of the limit from which demand is announced exactly. Small fleets use the minimum, the largest
+ * the maximum.
+ */
+const MIN_EXACT_SHARE = 1 / 32;
+const MAX_EXACT_SHARE = 1 / 4;
+/** The share grows with the fleet and, without a maximum, would be the whole limit at this number of instances. */
+const INSTANCES_FOR_FULL_SHARE = 1_000;
 
-/** Whether demand has fallen so far below what was told that the others should know. */
+/** Returns whether demand has fallen so far below the last announcement that the others should be informed. */
 export function hasFallen(demandPerSecond: number, last: Announcement, nowMs: number): boolean {
-  if (last.isDrawn) return false;
-  return nowMs - last.atMs >= LEAST_GAP_MS && demandPerSecond < FELL_TO * last.perSecond;
+  if (last.isSampled) return false;
+  return nowMs - last.atMs >= MIN_INTERVAL_MS && demandPerSecond < FALL_FACTOR * last.perSecond;
 }
 
-/** Demand from which on it is told exactly, requests/s. */
-export function notableDemand({ requestsPerSecond }: AccountLimit, instances: number): number {
-  const part = Math.min(COARSEST_PART, Math.max(FINEST_PART, instances / INSTANCES_FOR_WHOLE));
-  return requestsPerSecond * part;
+/** Returns the minimum demand that is announced exactly, requests/s. */
+export function exactDemandThreshold(
+  { requestsPerSecond }: AccountLimit,
+  instances: number,
+): number {
+  const share = Math.min(
+    MAX_EXACT_SHARE,
+    Math.max(MIN_EXACT_SHARE, instances / INSTANCES_FOR_FULL_SHARE),
+  );
+  return requestsPerSecond * share;
 }
 
-/** The demand to tell now; undefined to tell nothing. `last` is what was told before, or that nothing was. */
-export function demandToTell(
+/**
+ * Returns the announcement to send now, or undefined if none is due. `last` is the one sent before, or a
+ * placeholder for none.
+ */
+export function demandToAnnounce(
   demandPerSecond: number,
-  notablePerSecond: number,
+  thresholdPerSecond: number,
   last: Announcement,
   nowMs: number,
   random: RandomSource,
 ): Announcement | undefined {
   const ageMs = nowMs - last.atMs;
-  if (ageMs < LEAST_GAP_MS) return undefined;
-  if (demandPerSecond >= notablePerSecond) {
-    const changed =
-      demandPerSecond > ROSE_BY * last.perSecond || hasFallen(demandPerSecond, last, nowMs);
-    const isDue = ageMs >= REPEAT_AFTER_MS;
-    return isDue || changed
-      ? { perSecond: demandPerSecond, atMs: nowMs, isDrawn: false }
+  if (ageMs < MIN_INTERVAL_MS) return undefined;
+  if (demandPerSecond >= thresholdPerSecond) {
+    const hasChanged =
+      demandPerSecond > RISE_FACTOR * last.perSecond || hasFallen(demandPerSecond, last, nowMs);
+    const isDue = ageMs >= REPEAT_INTERVAL_MS;
+    return isDue || hasChanged
+      ? { perSecond: demandPerSecond, atMs: nowMs, isSampled: false }
       : undefined;
   }
-  // Each request stands for itself, so that the sum is right on average however seldom a caller sends.
-  const share = 1_000 / (notablePerSecond * DRAWN_LASTS_MS);
-  if (random.next() >= share) return undefined;
-  return { perSecond: notablePerSecond, atMs: nowMs, isDrawn: true };
+  // Each request draws independently, so that the sum is right on average however rarely a caller sends.
+  const probability = 1_000 / (thresholdPerSecond * SAMPLED_TTL_MS);
+  if (random.next() >= probability) return undefined;
+  return { perSecond: thresholdPerSecond, atMs: nowMs, isSampled: true };
 }
 
-/** Time for which an announcement stands, ms. */
-export function lastsMs({ isDrawn }: Announcement): number {
-  return isDrawn ? DRAWN_LASTS_MS : ANNOUNCEMENT_LASTS_MS;
+/** Returns the time for which an announcement is valid, ms. */
+export function announcementTtlMs({ isSampled }: Announcement): number {
+  return isSampled ? SAMPLED_TTL_MS : EXACT_TTL_MS;
 }
--- a/src/core/caller-limits/caller-limiter.test.ts
+++ b/src/core/caller-limits/caller-limiter.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { createSeededRandom } from '../random';
-import { lastsMs } from './announcement';
+import { announcementTtlMs } from './announcement';
 import type { Announcement } from './announcement';
 import { createCallerLimiter } from './caller-limiter';
 import { createOthersDemand } from './others-demand';
@@ -16,7 +16,10 @@
   readonly dueMs: number;
 }
 
-/** Instances of one caller that hear of each other after a delay; `canHear` cuts some of them off. */
+/**
+ * Simulates instances that exchange announcements about one caller after a delay. `canReceive` drops messages
+ * between partitioned instances.
+ */
 function fleet(count: number) {
   const nodes = Array.from({ length: count }, (_unused, at) => {
     const others = createOthersDemand();
@@ -24,67 +27,67 @@
     return { others, limiter: createCallerLimiter({ random, others, instances: () => count }) };
   });
   let messages: Message[] = [];
-  let told = 0;
+  let sentCount = 0;
   let nowMs = 0;
 
-  const tell = (from: number, announcement: Announcement) => {
-    told += 1;
+  const send = (from: number, announcement: Announcement) => {
+    sentCount += 1;
     messages.push({ from, announcement, dueMs: nowMs + MESSAGE_DELAY_MS });
   };
 
-  const deliver = (canHear: (from: number, to: number) => boolean) => {
+  const deliver = (canReceive: (from: number, to: number) => boolean) => {
     for (const { from, announcement } of messages.filter(({ dueMs }) => dueMs <= nowMs)) {
       nodes.forEach(({ others }, to) => {
-        if (to === from || !canHear(from, to)) return;
+        if (to === from || !canReceive(from, to)) return;
         others.note(
           'dealer',
           `node-${from}`,
           announcement.perSecond,
-          nowMs + lastsMs(announcement),
+          nowMs + announcementTtlMs(announcement),
         );
       });
     }
     messages = messages.filter(({ dueMs }) => dueMs > nowMs);
   };
 
-  /** Sends `perSecond[i]` requests a second to instance i; returns what each admitted. */
+  /** Sends `perSecond[i]` requests/s to instance i and returns the number that each admitted. */
   const run = (
     seconds: number,
     perSecond: readonly number[],
-    canHear: (from: number, to: number) => boolean = () => true,
+    canReceive: (from: number, to: number) => boolean = () => true,
   ): readonly number[] => {
     const admitted = perSecond.map(() => 0);
     const due = perSecond.map(() => 0);
     const endMs = nowMs + seconds * 1_000;
     for (; nowMs < endMs; nowMs += TICK_MS) {
-      deliver(canHear);
+      deliver(canReceive);
       perSecond.forEach((rate, at) => {
         due[at] = (due[at] ?? 0) + (rate * TICK_MS) / 1_000;
         for (; (due[at] ?? 0) >= 1; due[at] = (due[at] ?? 0) - 1) {
           const result = nodes[at]?.limiter.decide('dealer', LIMIT, nowMs);
           if (result?.decision.kind === 'admit') admitted[at] = (admitted[at] ?? 0) + 1;
-          if (result?.announcement !== undefined) tell(at, result.announcement);
+          if (result?.announcement !== undefined) send(at, result.announcement);
         }
         if (nowMs % 1_000 !== 0) return;
         nodes[at]?.limiter.sweep(nowMs).forEach(({ announcement }) => {
-          tell(at, announcement);
+          send(at, announcement);
         });
       });
     }
     return admitted;
   };
-  return { run, nodes, told: () => told, now: () => nowMs };
+  return { run, nodes, sentCount: () => sentCount, now: () => nowMs };
 }
 
 const sum = (counts: readonly number[]) => counts.reduce((total, count) => total + count, 0);
 const evenly = (perSecond: number, count: number) =>
   Array.from({ length: count }, () => perSecond / count);
 
-// A dealer's script loops and sends ten times what its account allows, to every instance it knows. Without a
-// limit that holds over all of them, the other callers pay for it with their waits.
+// A script in a loop sends ten times the limit of its account to every instance it knows. Without a limit over all
+// instances, the other callers wait longer.
 describe('a caller over its limit', () => {
   for (const count of [1, 6, 8]) {
-    it(`gets its limit and not more over ${count} instances once messages have flowed`, () => {
+    it(`gets its limit and no more over ${count} instances once announcements are exchanged`, () => {
       const { run } = fleet(count);
       run(10, evenly(500, count));
       const perSecond = sum(run(30, evenly(500, count))) / 30;
@@ -93,16 +96,16 @@
     });
   }
 
-  it('gets about its limit over 340 instances though each sees little of it', () => {
+  it('gets about its limit over 340 instances although each receives little of its demand', () => {
     const { run } = fleet(340);
-    // What is told by chance stands for 60 s, so that the sum takes as long to build up.
+    // Sampled announcements are valid for 60 s, so the sum takes that long to build up.
     run(70, evenly(500, 340));
     const perSecond = sum(run(30, evenly(500, 340))) / 30;
     assert.ok(perSecond < 1.3 * LIMIT.requestsPerSecond, `${perSecond} a second`);
     assert.ok(perSecond > 0.5 * LIMIT.requestsPerSecond, `${perSecond} a second`);
   });
 
-  it('has its share follow its demand from one instance to another', () => {
+  it('gets its whole limit at another instance once it has moved there', () => {
     const { run } = fleet(6);
     run(10, [500, 0, 0, 0, 0, 0]);
     run(30, [0, 500, 0, 0, 0, 0]);
@@ -111,7 +114,7 @@
     assert.ok(second > 0.95 * 10 * LIMIT.requestsPerSecond);
   });
 
-  it('is told times that are kept for it, one after the other', () => {
+  it('gets retry times in sequence, at each of which a request is admitted', () => {
     const limiter = createCallerLimiter({
       random: createSeededRandom(1),
       others: createOthersDemand(),
@@ -125,25 +128,33 @@
     assert.equal(retryTimesMs.length, 30);
     assert.equal(retryTimesMs[0], 20);
     assert.equal(retryTimesMs.at(-1), 30 * 20);
-    const kept = retryTimesMs.map((atMs) => limiter.decide('dealer', LIMIT, atMs).decision.kind);
-    assert.deepEqual(new Set(kept), new Set(['admit']));
+    const retryDecisions = retryTimesMs.map(
+      (atMs) => limiter.decide('dealer', LIMIT, atMs).decision.kind,
+    );
+    assert.deepEqual(new Set(retryDecisions), new Set(['admit']));
   });
 });
 
-// Three regions lose each other for minutes. No instance can know what the other parts admit; refusing callers
-// for that would be the worse fault, so each part grants the whole limit and not more.
-describe('a caller that reaches regions which are cut from each other', () => {
-  it('gets at most its limit in each part, and its limit in all soon after the cut', () => {
+// Three regions are partitioned for minutes. No instance can know what the other partitions admit. Refusing callers
+// because of that would be worse, so each partition grants the whole limit and no more.
+describe('a caller that reaches partitioned regions', () => {
+  it('gets at most its limit in each partition, and its limit overall soon after they rejoin', () => {
     const { run } = fleet(6);
-    const inSamePart = (from: number, to: number) => from % 3 === to % 3;
+    const inSamePartition = (from: number, to: number) => from % 3 === to % 3;
     run(10, evenly(600, 6));
-    run(20, evenly(600, 6), inSamePart);
-    const cut = sum(run(30, evenly(600, 6), inSamePart)) / 30;
-    assert.ok(cut > 2.5 * LIMIT.requestsPerSecond, `${cut} a second`);
-    assert.ok(cut <= 3.1 * LIMIT.requestsPerSecond, `${cut} a second`);
+    run(20, evenly(600, 6), inSamePartition);
+    const partitionedPerSecond = sum(run(30, evenly(600, 6), inSamePartition)) / 30;
+    assert.ok(
+      partitionedPerSecond > 2.5 * LIMIT.requestsPerSecond,
+      `${partitionedPerSecond} a second`,
+    );
+    assert.ok(
+      partitionedPerSecond <= 3.1 * LIMIT.requestsPerSecond,
+      `${partitionedPerSecond} a second`,
+    );
     run(15, evenly(600, 6));
-    const whole = sum(run(30, evenly(600, 6))) / 30;
-    assert.ok(whole < 1.1 * LIMIT.requestsPerSecond, `${whole} a second`);
+    const rejoinedPerSecond = sum(run(30, evenly(600, 6))) / 30;
+    assert.ok(rejoinedPerSecond < 1.1 * LIMIT.requestsPerSecond, `${rejoinedPerSecond} a second`);
   });
 
   it('gets at most a burst at each instance before the first message arrives', () => {
@@ -153,8 +164,8 @@
   });
 });
 
-describe('a caller inside its limit', () => {
-  it('is never refused, wherever it sends and however often it changes', () => {
+describe('a caller within its limit', () => {
+  it('is never refused, whichever instance it uses and however often it changes', () => {
     const { run } = fleet(6);
     let admitted = 0;
     for (let turn = 0; turn < 12; turn += 1) {
@@ -164,10 +175,10 @@
     assert.equal(admitted, 12 * 5 * 25);
   });
 
-  it('costs few messages while its demand is a small part of its limit, and no state once quiet', () => {
-    const { nodes, run, told, now } = fleet(2);
+  it('needs few messages while its demand is a small share of its limit, and no state once idle', () => {
+    const { nodes, run, sentCount, now } = fleet(2);
     run(60, [1, 0]);
-    assert.ok(told() <= 3, `${told()} for 60 requests`);
+    assert.ok(sentCount() <= 3, `${sentCount()} for 60 requests`);
     nodes[0]?.limiter.decide('another', LIMIT, now() + 120_000);
     assert.equal(nodes[0]?.limiter.callers(), 1);
   });
--- a/src/core/caller-limits/caller-limiter.ts
+++ b/src/core/caller-limits/caller-limiter.ts
@@ -1,5 +1,10 @@
 import type { RandomSource } from '../random';
-import { demandToTell, hasFallen, lastsMs, notableDemand } from './announcement';
+import {
+  announcementTtlMs,
+  demandToAnnounce,
+  exactDemandThreshold,
+  hasFallen,
+} from './announcement';
 import type { Announcement } from './announcement';
 import { NO_DEMAND, addDemand, demandAt } from './demand-rate';
 import type { DemandRate } from './demand-rate';
@@ -10,90 +15,103 @@
 import type { AccountLimit, LimitDecision } from './types';
 
 /**
- * Holds a caller's account limit over all instances without a shared store.
+ * Enforces the account limit of a caller over all instances without a shared store.
  *
- * Answers a caller that sends more than was agreed, through as many instances as it likes. A full limit at each
- * instance would give it 8 times its limit today and 340 times in the target fleet, at the cost of all others;
- * a fixed part of the limit at each would refuse callers that use one entry, as they are told to.
+ * The full limit at each instance would give a caller that uses them all 8 times its limit today and 340 times in
+ * the target fleet, at the cost of all other callers. A fixed share at each would refuse callers that send all
+ * their requests to a single entry instance, as callers are instructed to do.
  *
- * Every instance grants what the others leave over. How far the sum may exceed the limit:
- * - While messages flow, by what is admitted until the first of them arrives: at most a burst at each instance.
- * - While regions are cut, each part that a caller reaches grants the whole limit: two parts twice, three three
- *   times. What was said before the cut stands for 15 s more.
+ * Every instance grants what remains after the demand of the others. The sum may exceed the limit:
+ * - While messages flow: by what is admitted until the first of them arrives, at most a burst at each instance.
+ * - While regions are partitioned: each partition that a caller reaches grants the whole limit, so two partitions
+ *   grant it twice and three grant it three times. Announcements from before the partition stay valid for 15 s
+ *   more.
  */
 export interface CallerLimiter {
   decide(callerId: string, limit: AccountLimit, nowMs: number): LimiterResult;
   /**
-   * What the others are to be told of callers whose demand here has fallen; to be asked each second. A caller that
-   * moved to another entry sends nothing here any more that could lead to telling it.
+   * Returns the announcements to send for callers whose demand here has fallen. Call it every second: a caller that
+   * moved to another entry instance sends no requests here any more that could trigger an announcement.
    */
   sweep(nowMs: number): readonly CallerAnnouncement[];
-  /** Callers with state here. */
+  /** Returns the number of callers with state on this instance. */
   callers(): number;
 }
 
-/** A decision, and what the other instances are to be told of the caller's demand, if anything. */
+/** A decision, and the announcement of the caller's demand to send to the other instances, if any. */
 export interface LimiterResult {
   readonly decision: LimitDecision;
   readonly announcement: Announcement | undefined;
 }
 
-/** An announcement, and whom it is about. */
+/** An announcement, and the caller that it is about. */
 export interface CallerAnnouncement {
   readonly callerId: string;
   readonly announcement: Announcement;
 }
 
-/** What the limiter needs. */
-export interface CallerLimiterNeeds {
+/** Options of a caller limiter. */
+export interface CallerLimiterOptions {
   readonly random: RandomSource;
   readonly others: OthersDemand;
-  /** Instances that may tell something, this one included. */
+  /** Returns the number of instances that may send announcements, including this one. */
   readonly instances: () => number;
 }
 
 interface CallerState {
   readonly demand: DemandRate;
   readonly bucket: TokenBucket;
-  readonly told: Announcement;
+  readonly lastAnnouncement: Announcement;
 }
 
-const NEVER_TOLD: Announcement = { perSecond: 0, atMs: -Infinity, isDrawn: true };
-/** A caller quiet for so long has a full bucket and nothing that stands; its state is dropped, ms. */
-const FORGET_AFTER_MS = 60_000;
-/** Callers looked at for that with each request: more than come, so that the state cannot grow for long. */
-const LOOKED_AT = 2;
+const NO_ANNOUNCEMENT: Announcement = { perSecond: 0, atMs: -Infinity, isSampled: true };
+/**
+ * Time without requests after which the state of a caller is dropped: its bucket is full and its announcements have
+ * expired, ms.
+ */
+const IDLE_TTL_MS = 60_000;
+/**
+ * Maximum number of idle callers to evict per request. It exceeds the one caller that a request can add, so the
+ * state cannot grow for long.
+ */
+const MAX_EVICTIONS_PER_REQUEST = 2;
 
-/** Whether the others still go by what was told before. */
-function isHeard({ told }: CallerState, nowMs: number): boolean {
-  return told.perSecond > 0 && nowMs - told.atMs < lastsMs(told);
+/** Returns whether the last announcement is non-zero and still valid at the other instances. */
+function hasValidAnnouncement({ lastAnnouncement: last }: CallerState, nowMs: number): boolean {
+  return last.perSecond > 0 && nowMs - last.atMs < announcementTtlMs(last);
 }
 
-/** A limiter that has seen nobody. */
-export function createCallerLimiter(needs: CallerLimiterNeeds): CallerLimiter {
-  const { random, others, instances } = needs;
-  // In the order of their last request, since each one puts its caller last.
+/** Creates a limiter that tracks the demand, token bucket and last announcement of each caller. */
+export function createCallerLimiter(options: CallerLimiterOptions): CallerLimiter {
+  const { random, others, instances } = options;
+  // Ordered by last request: each request moves its caller to the end.
   const states = new Map<string, CallerState>();
 
-  // Those of whom the others were told something that may still stand.
-  const toldOf = new Set<string>();
+  // Callers with an announcement that may still be valid at other instances.
+  const announcedCallers = new Set<string>();
 
-  const dropQuiet = (nowMs: number): void => {
-    let looked = 0;
+  const evictIdle = (nowMs: number): void => {
+    let evictedCount = 0;
     for (const [callerId, { demand }] of states) {
-      if (looked >= LOOKED_AT || nowMs - demand.atMs < FORGET_AFTER_MS) return;
+      if (evictedCount >= MAX_EVICTIONS_PER_REQUEST || nowMs - demand.atMs < IDLE_TTL_MS) return;
       states.delete(callerId);
-      looked += 1;
+      evictedCount += 1;
     }
   };
 
-  const toTell = (
+  const nextAnnouncement = (
     state: CallerState,
     limit: AccountLimit,
     nowMs: number,
   ): Announcement | undefined => {
-    const notable = notableDemand(limit, instances());
-    return demandToTell(demandAt(state.demand, nowMs), notable, state.told, nowMs, random);
+    const thresholdPerSecond = exactDemandThreshold(limit, instances());
+    return demandToAnnounce(
+      demandAt(state.demand, nowMs),
+      thresholdPerSecond,
+      state.lastAnnouncement,
+      nowMs,
+      random,
+    );
   };
 
   return {
@@ -101,31 +119,35 @@
       const known = states.get(callerId) ?? {
         demand: NO_DEMAND,
         bucket: fullBucket(limit, nowMs),
-        told: NEVER_TOLD,
+        lastAnnouncement: NO_ANNOUNCEMENT,
       };
       const demand = addDemand(known.demand, nowMs);
       const grant = grantedPerSecond(limit, demand.perSecond, others.of(callerId, nowMs));
       const { bucket, decision } = takeToken(known.bucket, limit, grant, nowMs);
-      const announcement = toTell({ ...known, demand }, limit, nowMs);
+      const announcement = nextAnnouncement({ ...known, demand }, limit, nowMs);
       states.delete(callerId);
-      states.set(callerId, { demand, bucket, told: announcement ?? known.told });
-      dropQuiet(nowMs);
-      const isNews = announcement?.perSecond !== 0 || isHeard(known, nowMs);
-      if (announcement !== undefined && isNews) toldOf.add(callerId);
-      return { decision, announcement: isNews ? announcement : undefined };
+      states.set(callerId, {
+        demand,
+        bucket,
+        lastAnnouncement: announcement ?? known.lastAnnouncement,
+      });
+      evictIdle(nowMs);
+      const shouldSend = announcement?.perSecond !== 0 || hasValidAnnouncement(known, nowMs);
+      if (announcement !== undefined && shouldSend) announcedCallers.add(callerId);
+      return { decision, announcement: shouldSend ? announcement : undefined };
     },
     sweep(nowMs) {
       const fallen: CallerAnnouncement[] = [];
-      for (const callerId of [...toldOf]) {
+      for (const callerId of [...announcedCallers]) {
         const state = states.get(callerId);
-        if (state === undefined || !isHeard(state, nowMs)) {
-          toldOf.delete(callerId);
+        if (state === undefined || !hasValidAnnouncement(state, nowMs)) {
+          announcedCallers.delete(callerId);
           continue;
         }
         const perSecond = demandAt(state.demand, nowMs);
-        if (!hasFallen(perSecond, state.told, nowMs)) continue;
-        const announcement = { perSecond, atMs: nowMs, isDrawn: false };
-        states.set(callerId, { ...state, told: announcement });
+        if (!hasFallen(perSecond, state.lastAnnouncement, nowMs)) continue;
+        const announcement = { perSecond, atMs: nowMs, isSampled: false };
+        states.set(callerId, { ...state, lastAnnouncement: announcement });
         fallen.push({ callerId, announcement });
       }
       return fallen;
--- a/src/core/caller-limits/caller-limits.test.ts
+++ b/src/core/caller-limits/caller-limits.test.ts
@@ -5,8 +5,8 @@
 import type { SmallFleet } from '../../testing/small-fleet';
 import { waitFor } from '../../testing/wait-for';
 
-// A caller's script sends far more than its account allows. It must read at once, and before it has sent a
-// long body, that nothing ran and when to come back; the servers must not see the surplus.
+// A script sends far more than its account allows. Its caller must learn at once, even before it has sent a long
+// body, that nothing ran and when to retry. The backend servers must not receive the excess.
 describe('a caller over its limit, over real sockets', () => {
   let fleet: SmallFleet;
   before(async () => {
@@ -17,21 +17,21 @@
     fleet.publish({ ...configuration, callers, version: 2 });
     await waitFor(
       () => fleet.instances.every(({ node }) => node.configurationVersion() === 2),
-      'the limits in force',
+      'the limits to be in force',
     );
   });
   after(() => fleet[Symbol.asyncDispose]());
 
-  it('reads 429, not run, and when to come back, while the burst was answered', async () => {
+  it('gets a 429 with outcome notRun and a retry time after its burst was answered', async () => {
     const { node } = fleet.instanceIn('windhoek');
-    const ask = async () => {
+    const sendRequest = async () => {
       const answer = await request(`http://${node.callerAddress}/services/orders/stock`, {
         headers: { authorization: `Bearer ${FLEET_KEYS.everywhere}` },
       });
       const body = (await answer.body.json()) as { outcome?: string; retryAtUnixMs?: number };
       return { status: answer.statusCode, headers: answer.headers, ...body };
     };
-    const answers = [await ask(), await ask(), await ask()];
+    const answers = [await sendRequest(), await sendRequest(), await sendRequest()];
     assert.deepEqual(
       answers.map(({ status }) => status),
       [200, 200, 429],
--- a/src/core/caller-limits/caller-limits.ts
+++ b/src/core/caller-limits/caller-limits.ts
@@ -7,29 +7,29 @@
 import type { GossipBoard, GossipEntry } from '../gossip';
 import type { RandomSource } from '../random';
 import { REFUSALS, RefusalError } from '../refusals';
-import { DRAWN_LASTS_MS, announcementSchema, lastsMs } from './announcement';
+import { SAMPLED_TTL_MS, announcementSchema, announcementTtlMs } from './announcement';
 import type { Announcement } from './announcement';
 import { createCallerLimiter } from './caller-limiter';
 import type { LimiterResult } from './caller-limiter';
 import { CALLER_LIMIT_EVENTS } from './events';
 import { createOthersDemand } from './others-demand';
 
-/** The account limits at the edge. */
+/** Enforces the account limits on requests from callers. */
 export interface CallerLimits extends AsyncDisposable {
-  /** Returns when the request is inside its caller's limit, and throws a `RefusalError` otherwise. */
+  /** Returns if the request is within the limit of its caller, and throws a `RefusalError` otherwise. */
   require(caller: Caller, requestId: string): void;
 }
 
-/** What the limits need. */
-export interface CallerLimitsNeeds {
+/** Options of the caller limits. */
+export interface CallerLimitsOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
   readonly gossip: GossipBoard;
   readonly configuration: ConfigurationStore;
-  /** Instances of the fleet that live, this one included. */
+  /** Returns the number of live instances, including this one. */
   readonly instances: () => number;
-  /** Takes each decision down, where decisions are recorded. */
+  /** Records each decision; undefined when decisions are not recorded. */
   readonly record: DecisionRecorder | undefined;
 }
 
@@ -41,33 +41,33 @@
   }
 }
 
-/** Pause between two looks at callers whose demand has fallen, ms. */
-const SWEEP_EVERY_MS = 1_000;
+/** Interval between checks for callers whose demand has fallen, ms. */
+const SWEEP_INTERVAL_MS = 1_000;
 
-/** Limits that listen to the other instances until they are disposed of. */
-export function createCallerLimits(needs: CallerLimitsNeeds): CallerLimits {
-  const { clock, logger, gossip, configuration, instances, record } = needs;
-  const random = recordDraws(needs.random);
+/** Creates caller limits that receive the announcements of other instances until they are disposed of. */
+export function createCallerLimits(options: CallerLimitsOptions): CallerLimits {
+  const { clock, logger, gossip, configuration, instances, record } = options;
+  const random = recordDraws(options.random);
   const others = createOthersDemand();
 
-  const learn = ({ key, origin, payload, expiresAtUnixMs }: GossipEntry): void => {
+  const onAnnouncement = ({ key, origin, payload, expiresAtUnixMs }: GossipEntry): void => {
     const perSecond = readPerSecond(payload);
     if (perSecond === undefined) return;
-    const leftMs = Math.min(DRAWN_LASTS_MS, expiresAtUnixMs - clock.unixMs());
-    others.note(key, origin, perSecond, clock.monotonicMs() + leftMs);
+    const remainingMs = Math.min(SAMPLED_TTL_MS, expiresAtUnixMs - clock.unixMs());
+    others.note(key, origin, perSecond, clock.monotonicMs() + remainingMs);
   };
-  const listening = gossip.onEntry('callerShares', learn);
+  const subscription = gossip.onEntry('callerShares', onAnnouncement);
 
   const limiter = createCallerLimiter({ random, others, instances });
   const stopping = new AbortController();
 
-  /** Tells instances that may see the caller's requests, and no others. */
-  const tell = ({ id, regions }: Caller, announcement: Announcement): void =>
+  /** Sends an announcement only to regions that may receive the caller's requests. */
+  const announce = ({ id, regions }: Caller, announcement: Announcement): void =>
     gossip.put({
       topic: 'callerShares',
       key: id,
       regions,
-      expiresAtUnixMs: clock.unixMs() + lastsMs(announcement),
+      expiresAtUnixMs: clock.unixMs() + announcementTtlMs(announcement),
       payload: JSON.stringify({ perSecond: Number(announcement.perSecond.toPrecision(2)) }),
     });
 
@@ -96,9 +96,9 @@
     while (!stopping.signal.aborted) {
       for (const { callerId, announcement } of limiter.sweep(clock.monotonicMs())) {
         const caller = configuration.current()?.callerById(callerId);
-        if (caller !== undefined) tell(caller, announcement);
+        if (caller !== undefined) announce(caller, announcement);
       }
-      await sleepUntil(clock, clock.monotonicMs() + SWEEP_EVERY_MS, stopping.signal);
+      await sleepUntil(clock, clock.monotonicMs() + SWEEP_INTERVAL_MS, stopping.signal);
     }
   };
 
@@ -107,7 +107,7 @@
     require(caller, requestId) {
       const nowMs = clock.monotonicMs();
       const { decision, announcement } = decide(caller, nowMs);
-      if (announcement !== undefined) tell(caller, announcement);
+      if (announcement !== undefined) announce(caller, announcement);
       if (decision.kind === 'admit') return;
       const { retryAtMs, ratePerSecond } = decision;
       logger.event(CALLER_LIMIT_EVENTS.refused, { requestId, caller: caller.id, ratePerSecond });
@@ -119,7 +119,7 @@
       });
     },
     async [Symbol.asyncDispose]() {
-      listening[Symbol.dispose]();
+      subscription[Symbol.dispose]();
       stopping.abort();
       await sweeping;
     },
--- a/src/core/caller-limits/demand-rate.ts
+++ b/src/core/caller-limits/demand-rate.ts
@@ -1,21 +1,24 @@
-/** How many requests a caller sends here, refused ones included, as a moving average. */
+/** Moving average of the requests that a caller sends to this instance, including refused ones. */
 export interface DemandRate {
   readonly perSecond: number;
   readonly atMs: number;
 }
 
-/** Time over which demand is averaged: shares follow within seconds and do not jump with each request, s. */
-const AVERAGED_S = 2;
+/**
+ * Time constant of the moving average, s. Grants follow a change of demand within seconds and do not jump with each
+ * request.
+ */
+const AVERAGING_TIME_S = 2;
 
-/** No demand yet. */
+/** Demand of a caller that has sent no request. */
 export const NO_DEMAND: DemandRate = { perSecond: 0, atMs: 0 };
 
-/** The rate at `nowMs` when nothing came since. */
+/** Returns the rate at `nowMs`, provided that no request came since it was last updated. */
 export function demandAt({ perSecond, atMs }: DemandRate, nowMs: number): number {
-  return perSecond * Math.exp(-(nowMs - atMs) / (AVERAGED_S * 1000));
+  return perSecond * Math.exp(-(nowMs - atMs) / (AVERAGING_TIME_S * 1000));
 }
 
-/** Takes in one request. */
+/** Returns the rate after one more request. */
 export function addDemand(demand: DemandRate, nowMs: number): DemandRate {
-  return { perSecond: demandAt(demand, nowMs) + 1 / AVERAGED_S, atMs: nowMs };
+  return { perSecond: demandAt(demand, nowMs) + 1 / AVERAGING_TIME_S, atMs: nowMs };
 }
--- a/src/core/caller-limits/events.ts
+++ b/src/core/caller-limits/events.ts
@@ -7,6 +7,6 @@
     name: 'caller-over-limit',
     level: 'info',
     text: 'A caller sent more than its account allows; the request was refused and did not run.',
-    action: 'None; raise the limit in the configuration if the caller ought to have more.',
+    action: 'None; raise the limit in the configuration if the caller should be allowed more.',
   },
 } as const satisfies Record<string, EventDefinition>;
--- a/src/core/caller-limits/grant.ts
+++ b/src/core/caller-limits/grant.ts
@@ -1,18 +1,21 @@
 import type { AccountLimit } from './types';
 
 /**
- * What one instance grants a caller: all that the others leave over, and at least its part of the demand.
+ * Returns the rate that this instance grants a caller: what remains after the demand at the other instances, and at
+ * least a share in proportion to its own demand.
  *
- * While the whole demand is inside the limit, a caller may use all of the rest at any instance, so that a change
- * of entry costs nothing. Once the demand exceeds the limit, what the instances grant adds up to the limit.
+ * While the total demand is within the limit, a caller may use all of the remainder at any instance, so changing
+ * the entry instance costs it nothing. Once the demand exceeds the limit, the grants of all instances add up to the
+ * limit.
  */
 export function grantedPerSecond(
   { requestsPerSecond }: AccountLimit,
   ownDemand: number,
   othersDemand: number,
 ): number {
-  const leftOver = requestsPerSecond - othersDemand;
+  const remaining = requestsPerSecond - othersDemand;
   const demand = ownDemand + othersDemand;
-  const inProportion = demand === 0 ? requestsPerSecond : requestsPerSecond * (ownDemand / demand);
-  return Math.max(leftOver, inProportion);
+  const proportionalShare =
+    demand === 0 ? requestsPerSecond : requestsPerSecond * (ownDemand / demand);
+  return Math.max(remaining, proportionalShare);
 }
--- a/src/core/caller-limits/index.ts
+++ b/src/core/caller-limits/index.ts
@@ -1,6 +1,6 @@
-/** How much a caller may send, over all instances. */
+/** Limits on the requests of a caller, over all instances. */
 export { createCallerLimiter } from './caller-limiter';
-export type { CallerLimiter, CallerLimiterNeeds } from './caller-limiter';
+export type { CallerLimiter, CallerLimiterOptions } from './caller-limiter';
 export { createCallerLimits } from './caller-limits';
 export type { CallerLimits } from './caller-limits';
 export { CALLER_LIMIT_EVENTS } from './events';
--- a/src/core/caller-limits/others-demand.ts
+++ b/src/core/caller-limits/others-demand.ts
@@ -1,42 +1,44 @@
-/** What the other instances said about callers, while it stands. */
+/** Valid announcements of the other instances about the demand of callers. */
 export interface OthersDemand {
+  /** Records the demand of a caller at another instance, in place of what that instance announced before. */
   note(callerId: string, origin: string, perSecond: number, untilMs: number): void;
-  /** Sum of what stands about a caller, requests/s. */
+  /** Returns the sum of the valid announcements about a caller, requests/s. */
   of(callerId: string, nowMs: number): number;
+  /** Returns the number of callers with announcements, including expired ones that were not yet dropped. */
   callers(): number;
 }
 
-interface Told {
+interface ReportedDemand {
   readonly perSecond: number;
   readonly untilMs: number;
 }
 
-/** Nothing said yet. */
+/** Creates an in-memory store of announcements by caller and origin. */
 export function createOthersDemand(): OthersDemand {
-  const told = new Map<string, Map<string, Told>>();
+  const reports = new Map<string, Map<string, ReportedDemand>>();
 
-  const dropLapsed = (callerId: string, nowMs: number): ReadonlyMap<string, Told> => {
-    const byOrigin = told.get(callerId) ?? new Map<string, Told>();
+  const dropExpired = (callerId: string, nowMs: number): ReadonlyMap<string, ReportedDemand> => {
+    const byOrigin = reports.get(callerId) ?? new Map<string, ReportedDemand>();
     for (const [origin, { untilMs }] of byOrigin) {
       if (untilMs <= nowMs) byOrigin.delete(origin);
     }
-    if (byOrigin.size === 0) told.delete(callerId);
+    if (byOrigin.size === 0) reports.delete(callerId);
     return byOrigin;
   };
 
   return {
     note(callerId, origin, perSecond, untilMs) {
-      const byOrigin = told.get(callerId) ?? new Map<string, Told>();
+      const byOrigin = reports.get(callerId) ?? new Map<string, ReportedDemand>();
       byOrigin.set(origin, { perSecond, untilMs });
-      told.set(callerId, byOrigin);
+      reports.set(callerId, byOrigin);
     },
     of(callerId, nowMs) {
-      if (!told.has(callerId)) return 0;
-      return [...dropLapsed(callerId, nowMs).values()].reduce(
+      if (!reports.has(callerId)) return 0;
+      return [...dropExpired(callerId, nowMs).values()].reduce(
         (sum, { perSecond }) => sum + perSecond,
         0,
       );
     },
-    callers: () => told.size,
+    callers: () => reports.size,
   };
 }
--- a/src/core/load-control/create-load-control.ts
+++ b/src/core/load-control/create-load-control.ts
@@ -11,8 +11,8 @@
 import { createSlot } from './slot';
 import type { LoadControl, Slot } from './types';
 
-/** What load control is made from. */
-export interface LoadControlNeeds {
+/** Options of load control. */
+export interface LoadControlOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
@@ -42,17 +42,17 @@
   });
 }
 
-/** Load control of an instance that has served nothing yet. */
-export function createLoadControl(needs: LoadControlNeeds): LoadControl {
-  const { clock, logger, configuration } = needs;
+/** Creates load control for an instance: a scheduler per service, and promises and log lines around it. */
+export function createLoadControl(options: LoadControlOptions): LoadControl {
+  const { clock, logger, configuration } = options;
   const controls = new Map<string, ServiceControl>();
 
   const controlOf = (request: GatewayRequest): ServiceControl => {
     const { service } = request;
     const known = controls.get(service.name);
-    const control = known ?? createServiceControl(needs, service);
+    const control = known ?? createServiceControl(options, service);
     if (known === undefined) controls.set(service.name, control);
-    control.follow(configuration.current() ?? request.configuration);
+    control.applyConfiguration(configuration.current() ?? request.configuration);
     return control;
   };
 
@@ -71,7 +71,7 @@
       ...fields,
     });
 
-  const nobody = (request: GatewayRequest): Waiter => ({
+  const probeWaiter = (request: GatewayRequest): Waiter => ({
     request,
     begin: () => {},
     expire: () => {},
@@ -104,11 +104,11 @@
   return {
     canServe(request, mayUse) {
       const { scheduler, toScheduled } = controlOf(request);
-      return scheduler.canServe(toScheduled(request, mayUse, nobody(request)));
+      return scheduler.canServe(toScheduled(request, mayUse, probeWaiter(request)));
     },
     outlook(request, mayUse) {
       const { scheduler, toScheduled } = controlOf(request);
-      const scheduled = toScheduled(request, mayUse, nobody(request));
+      const scheduled = toScheduled(request, mayUse, probeWaiter(request));
       return {
         canServe: scheduler.canServe(scheduled),
         ...scheduler.outlook(scheduled, clock.monotonicMs()),
@@ -119,15 +119,15 @@
       const { scheduler } = control;
       return new Promise<Slot>((resolve, reject) => {
         let onAbort = () => {};
-        const settle = () => signal.removeEventListener('abort', onAbort);
+        const removeAbortListener = () => signal.removeEventListener('abort', onAbort);
         const waiter: Waiter = {
           request,
           begin(placement) {
-            settle();
+            removeAbortListener();
             resolve(createSlot(placement, control, clock));
           },
           expire(retryAtMs) {
-            settle();
+            removeAbortListener();
             const retryAtUnixMs = toUnixMs(retryAtMs);
             log(LOAD_CONTROL_EVENTS.expired, request, { retryAtUnixMs });
             reject(refusalFor('left-queue', retryAtUnixMs));
@@ -143,12 +143,12 @@
           case 'wait':
             onAbort = () => {
               scheduler.remove(scheduled);
-              control.pump();
+              control.dispatch();
               reject(refusalFor('caller-gone', undefined));
             };
             signal.addEventListener('abort', onAbort, { once: true });
             if (signal.aborted) onAbort();
-            else control.pump();
+            else control.dispatch();
             return;
           case 'refuse':
             reject(refusalFor(offer.reason, toUnixMs(offer.retryAtMs)));
--- a/src/core/load-control/load-control.test.ts
+++ b/src/core/load-control/load-control.test.ts
@@ -33,7 +33,7 @@
   );
 }
 
-function createParts() {
+function createFixture() {
   const clock = createFakeClock();
   const logger = createMemoryLogger();
   const configuration = oneServer();
@@ -51,10 +51,14 @@
   return { clock, logger, control, request, acquire };
 }
 
-type Parts = ReturnType<typeof createParts>;
+type Fixture = ReturnType<typeof createFixture>;
 
-/** Runs requests one after another, so that the control learns how long they take. */
-async function teach({ clock, acquire }: Parts, latencyMs: number, count: number): Promise<void> {
+/** Runs requests one after another, so that load control learns how long they take. */
+async function runRequests(
+  { clock, acquire }: Fixture,
+  latencyMs: number,
+  count: number,
+): Promise<void> {
   for (let index = 0; index < count; index += 1) {
     const slot = await acquire(clock.monotonicMs() + 60_000);
     await clock.advanceByAsync(latencyMs);
@@ -63,8 +67,10 @@
   }
 }
 
-/** Takes all that there is at first: the fresh limit of four, and one more that a caller with little use may have. */
-async function fillUp({ clock, acquire }: Parts): Promise<Slot[]> {
+/**
+ * Uses all the initial capacity: the initial limit of four, and one more that a caller with a sparse flow may have.
+ */
+async function useAllCapacity({ clock, acquire }: Fixture): Promise<Slot[]> {
   const slots: Slot[] = [];
   for (let index = 0; index < 5; index += 1) {
     slots.push(await acquire(clock.monotonicMs() + 60_000));
@@ -72,7 +78,7 @@
   return slots;
 }
 
-async function refusalOf(promise: Promise<unknown>): Promise<RefusalError> {
+async function expectRefusal(promise: Promise<unknown>): Promise<RefusalError> {
   const error = await promise.then(
     () => undefined,
     (reason: unknown) => reason,
@@ -82,83 +88,84 @@
 }
 
 describe('load control', () => {
-  it('lets a request wait until a place is free, and logs what was decided', async () => {
-    const parts = createParts();
-    await teach(parts, 100, 1);
-    const slots = await fillUp(parts);
-    const waiting = parts.acquire(parts.clock.monotonicMs() + 60_000);
-    parts.clock.advanceBy(50);
+  it('lets a request wait until capacity is free, and logs the decisions', async () => {
+    const fixture = createFixture();
+    await runRequests(fixture, 100, 1);
+    const slots = await useAllCapacity(fixture);
+    const waiting = fixture.acquire(fixture.clock.monotonicMs() + 60_000);
+    fixture.clock.advanceBy(50);
     slots.slice(0, 2).forEach((slot) => slot[Symbol.dispose]());
     const slot = await waiting;
     assert.equal(slot.serverId, 'orders-1');
     assert.equal(slot.waitedMs, 50);
-    const decisions = parts.logger
+    const decisions = fixture.logger
       .of(LOAD_CONTROL_EVENTS.admitted)
       .map(({ fields }) => fields.decision);
     assert.deepEqual(decisions, [...Array<string>(6).fill('run'), 'wait']);
-    parts.control[Symbol.dispose]();
+    fixture.control[Symbol.dispose]();
   });
 
-  // The servers are full for longer than a caller has time. It learns so at once, with the time at which to come
-  // back, rather than by a timeout after it has waited in vain.
-  it('refuses at once, with a time to come back, when the wait would outlast the deadline', async () => {
-    const parts = createParts();
-    await teach(parts, 1_000, 3);
-    await fillUp(parts);
-    const { clock, logger } = parts;
+  // The servers are full for longer than a caller has time. The caller must learn that at once, with a retry time,
+  // rather than by a timeout after a useless wait.
+  it('refuses at once, with a retry time, when the wait would outlast the deadline', async () => {
+    const fixture = createFixture();
+    await runRequests(fixture, 1_000, 3);
+    await useAllCapacity(fixture);
+    const { clock, logger } = fixture;
     const atMs = clock.monotonicMs();
-    const refusal = await refusalOf(parts.acquire(atMs + 1_100));
+    const refusal = await expectRefusal(fixture.acquire(atMs + 1_100));
     assert.equal(clock.monotonicMs(), atMs);
     assert.equal(refusal.definition.slug, 'overloaded');
     assert.equal(refusal.outcome, 'notRun');
     assert.ok((refusal.retryAtUnixMs ?? 0) >= clock.unixMs() + 500);
     assert.equal(logger.of(LOAD_CONTROL_EVENTS.refused).length, 1);
-    parts.control[Symbol.dispose]();
+    fixture.control[Symbol.dispose]();
   });
 
-  // A server turns slow after a request was let in to wait. Run at the end of its time, the request would take a
-  // place for an answer that comes too late for its caller.
-  it('lets a request leave the queue while its caller still has time', async () => {
-    const parts = createParts();
-    await teach(parts, 1_000, 3);
-    await fillUp(parts);
-    const { clock, logger } = parts;
+  // A server becomes slow after a request was admitted to wait. If the request ran at the end of its time, it would
+  // take capacity for an answer that comes too late.
+  it('expires a request in the queue while its caller still has time', async () => {
+    const fixture = createFixture();
+    await runRequests(fixture, 1_000, 3);
+    await useAllCapacity(fixture);
+    const { clock, logger } = fixture;
     const deadlineAtMs = clock.monotonicMs() + 3_000;
-    const refused = refusalOf(parts.acquire(deadlineAtMs));
+    const refused = expectRefusal(fixture.acquire(deadlineAtMs));
     await clock.advanceByAsync(2_000);
     assert.equal((await refused).outcome, 'notRun');
     assert.ok(clock.monotonicMs() < deadlineAtMs);
     assert.equal(logger.of(LOAD_CONTROL_EVENTS.expired).length, 1);
-    parts.control[Symbol.dispose]();
+    fixture.control[Symbol.dispose]();
   });
 
-  // A caller hangs up while its request waits. Left in the queue the request would be sent for nobody.
-  it('forgets a waiting request whose caller has gone', async () => {
-    const parts = createParts();
-    await teach(parts, 100, 1);
-    const slots = await fillUp(parts);
+  // A caller disconnects while its request waits. If it stayed in the queue, the request would be sent although
+  // nobody waits for the answer.
+  it('removes a waiting request whose caller has disconnected', async () => {
+    const fixture = createFixture();
+    await runRequests(fixture, 100, 1);
+    const slots = await useAllCapacity(fixture);
     const caller = new AbortController();
-    const refused = refusalOf(parts.acquire(60_000, caller.signal));
+    const refused = expectRefusal(fixture.acquire(60_000, caller.signal));
     caller.abort();
     assert.equal((await refused).outcome, 'notRun');
     slots.forEach((slot) => slot[Symbol.dispose]());
-    assert.equal((await parts.acquire(60_000)).waitedMs, 0);
-    parts.control[Symbol.dispose]();
-    assert.equal(parts.clock.pendingCount(), 0);
+    assert.equal((await fixture.acquire(60_000)).waitedMs, 0);
+    fixture.control[Symbol.dispose]();
+    assert.equal(fixture.clock.pendingCount(), 0);
   });
 
-  it('says that nothing can serve when no server may be used', async () => {
-    const { control, request, clock } = createParts();
-    const nothing = () => false;
-    assert.equal(control.canServe(request(60_000), nothing), false);
+  it('reports that it cannot serve a request when no server may be used', async () => {
+    const { control, request, clock } = createFixture();
+    const noServer = () => false;
+    assert.equal(control.canServe(request(60_000), noServer), false);
     const { signal } = new AbortController();
-    const refusal = await refusalOf(control.acquire(request(60_000), nothing, signal));
+    const refusal = await expectRefusal(control.acquire(request(60_000), noServer, signal));
     assert.equal(refusal.definition.slug, 'no-server');
     assert.equal(clock.pendingCount(), 0);
   });
 
-  it('takes in the load report of an answer and does not pass it on', async () => {
-    const { acquire, control, request } = createParts();
+  it('uses the load report of an answer and does not forward it', async () => {
+    const { acquire, control, request } = createFixture();
     const slot = await acquire(60_000);
     const sink = createMemorySink();
     const before = control.outlook(request(60_000), () => true).utilisation;
@@ -209,13 +216,13 @@
     ],
   });
 
-  it('takes the limit that is stated, else the one that is assumed', () => {
+  it('uses the stated limit, or else the assumed one', () => {
     assert.equal(demandOf(chat('How many trusses?')).maxOutputTokens, 200);
     assert.equal(demandOf({ messages: [] }).maxOutputTokens, 4_096);
     assert.equal(demandOf({ messages: [], max_completion_tokens: 77 }).maxOutputTokens, 77);
   });
 
-  it('finds the same prefixes for the same start of a prompt, and others for another model', () => {
+  it('returns the same prefixes for the same start of a prompt, and others for another model', () => {
     const one = demandOf(chat('How many trusses?'));
     const other = demandOf(chat('Is the kit in stock, and when does it come?'));
     const adapter = demandOf({ ...chat('How many trusses?'), model: 'kit-small' });
--- a/src/core/load-control/read-demand.ts
+++ b/src/core/load-control/read-demand.ts
@@ -2,19 +2,20 @@
 import type { GatewayRequest } from '../serving/types';
 import type { EngineDemand, PrefixBlock } from '../work';
 
-/** Tells the size of a request to an engine from its bytes; nothing is parsed as JSON on the way. */
-
-/** Bytes of a JSON body that make one prompt token, by English text. */
+/** Bytes of a JSON body per prompt token, for English text. */
 const BYTES_PER_TOKEN = 4;
 
-/** Lengths of the prompt's start that are told apart, bytes; engines cache whole blocks, and doubling is enough. */
+/**
+ * Lengths of the prompt prefixes that are distinguished, bytes. Engines cache whole blocks, and doubling is fine
+ * enough.
+ */
 const PREFIX_LENGTHS_BYTES = [1_024, 2_048, 4_096, 8_192, 16_384, 32_768, 65_536];
 
 const PROMPT_FIELDS = ['"messages"', '"prompt"'];
 const LIMIT_FIELDS = ['"max_completion_tokens"', '"max_tokens"'];
 const MODEL_FIELD = '"model"';
 
-/** Bytes after a field's name in which its value is looked for. */
+/** Number of bytes after a field name in which its value is searched for. */
 const VALUE_WINDOW_BYTES = 160;
 
 const NUMBER_VALUE = /^\s*:\s*(\d+)/;
@@ -33,8 +34,8 @@
 }
 
 /**
- * Digests of the prompt's start, from short to long. The model stands before them, since the caches of two
- * adapters hold nothing in common.
+ * Returns digests of the start of the prompt, from short to long. The digests include the model, since the caches
+ * of two adapters share nothing.
  */
 function prefixesOf(body: Buffer, fromByte: number): readonly PrefixBlock[] {
   const prompt = body.subarray(fromByte);
@@ -51,7 +52,10 @@
   return blocks;
 }
 
-/** The demand of a request; `assumedOutputTokens` where it states no limit. */
+/**
+ * Estimates the size of a request to an engine from its bytes, without parsing it as JSON. `assumedOutputTokens`
+ * applies where the request states no limit.
+ */
 export function readDemand(
   request: Pick<GatewayRequest, 'body'>,
   assumedOutputTokens: number,
--- a/src/core/load-control/read-load-report.ts
+++ b/src/core/load-control/read-load-report.ts
@@ -1,9 +1,9 @@
 import { z } from 'zod';
 
-/** Header in which engines report their load beside an answer (ORCA, `endpoint-load-metrics`). */
+/** Response header in which engines report their load (ORCA, `endpoint-load-metrics`). */
 export const LOAD_REPORT_HEADER = 'endpoint-load-metrics';
 
-/** What a report says of a server's requests; an engine names them as vLLM does. */
+/** Numbers of requests at a server according to its load report. Engines name the metrics as vLLM does. */
 export interface LoadMetrics {
   readonly runningRequests: number;
   readonly waitingRequests: number;
@@ -20,7 +20,10 @@
 
 const JSON_PREFIX = /^JSON\s+/i;
 
-/** Reads the header's JSON form; undefined for anything else, since a report is a hint and no answer hangs on it. */
+/**
+ * Parses the JSON form of the header. Returns undefined for anything else: a report is a hint, and no answer
+ * depends on it.
+ */
 export function readLoadReport(header: string): LoadMetrics | undefined {
   let value: unknown;
   try {
--- a/src/core/load-control/service-control.ts
+++ b/src/core/load-control/service-control.ts
@@ -8,25 +8,28 @@
 import { readDemand } from './read-demand';
 import type { MayUse } from './types';
 
-/** A request that waits, and who is told when its turn has come or will not come. */
+/** A request that waits, with callbacks for when its turn comes and for when it expires. */
 export interface Waiter {
   readonly request: GatewayRequest;
   begin(placement: Placement<Waiter>): void;
   expire(retryAtMs: number): void;
 }
 
-/** One service's scheduler with the timers that keep it going. */
+/** The scheduler of one service, with the timers that drive it. */
 export interface ServiceControl extends Disposable {
   readonly scheduler: ServiceScheduler<Waiter>;
   toScheduled(request: GatewayRequest, mayUse: MayUse, waiter: Waiter): ScheduledRequest<Waiter>;
-  /** Begins what may begin and lets go what can't be in time; to be called after each change. */
-  pump(): void;
-  /** Takes over a version of the configuration. */
-  follow(configuration: CompiledConfiguration): void;
+  /**
+   * Starts the requests whose turn has come and expires those that can no longer complete in time. Call it after
+   * each change.
+   */
+  dispatch(): void;
+  /** Applies a version of the configuration, if it is not the current one. */
+  applyConfiguration(configuration: CompiledConfiguration): void;
 }
 
-/** What a service's control needs. */
-export interface ServiceControlNeeds {
+/** Options of the control of a service. */
+export interface ServiceControlOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly region: string;
@@ -34,14 +37,14 @@
 }
 
 /**
- * While something waits, servers are looked at anew this often: an ejection or a slow start ends without any
+ * Interval at which servers are checked again while requests wait, ms. An ejection or a slow start ends without any
  * event that reaches the queue.
  */
-const LOOK_AGAIN_MS = 100;
+const RECHECK_INTERVAL_MS = 100;
 
-/** Control of one service, with nothing in flight. */
+/** Creates the scheduler and timers of one service. */
 export function createServiceControl(
-  { clock, random, region, failureDomain }: ServiceControlNeeds,
+  { clock, random, region, failureDomain }: ServiceControlOptions,
   service: Service,
 ): ServiceControl {
   const { queueing } = service;
@@ -56,7 +59,7 @@
   let version = 0;
   let timer: Disposable | undefined;
 
-  const pump = () => {
+  const dispatch = () => {
     timer?.[Symbol.dispose]();
     timer = undefined;
     const nowMs = clock.monotonicMs();
@@ -66,12 +69,12 @@
     for (const placement of scheduler.takeReady(nowMs)) placement.request.item.begin(placement);
     const nextExpiryAtMs = scheduler.nextExpiryAtMs();
     if (nextExpiryAtMs === undefined) return;
-    timer = clock.schedule(Math.min(nextExpiryAtMs + 1, nowMs + LOOK_AGAIN_MS), pump);
+    timer = clock.schedule(Math.min(nextExpiryAtMs + 1, nowMs + RECHECK_INTERVAL_MS), dispatch);
   };
 
   return {
     scheduler,
-    pump,
+    dispatch,
     toScheduled: (request, mayUse, item) => ({
       item,
       callerId: request.caller.id,
@@ -84,7 +87,7 @@
       deadlineAtMs: request.deadlineAtMs,
       mayUse,
     }),
-    follow(configuration) {
+    applyConfiguration(configuration) {
       if (configuration.version === version) return;
       version = configuration.version;
       scheduler.replaceServers(
--- a/src/core/load-control/slot.ts
+++ b/src/core/load-control/slot.ts
@@ -5,15 +5,15 @@
 import type { ServiceControl, Waiter } from './service-control';
 import type { Slot } from './types';
 
-/** Statuses from here on are no answers; how fast they come says nothing about load. */
+/** Lowest HTTP status that counts as an error. The latency of an error says nothing about load. */
 const FIRST_ERROR_STATUS = 400;
 
-/** Bytes of a body sent whole that make one token, with the JSON around it. */
+/** Bytes per output token of a body that is not a stream, including the JSON around it. */
 const BYTES_PER_TOKEN = 4;
 
 const NEWLINE = 10;
 
-/** Blank lines in a chunk of an event stream: each ends an event, and an event carries about one token. */
+/** Counts the blank lines in a chunk of an event stream: each ends an event, and an event carries about one token. */
 function countEvents(chunk: Uint8Array): number {
   let events = 0;
   let at = chunk.indexOf(NEWLINE);
@@ -24,11 +24,11 @@
   return events;
 }
 
-function headerOf({ headers }: ResponseHead, wanted: string): string | undefined {
-  return headers.find(({ name }) => name.toLowerCase() === wanted)?.value;
+function headerOf({ headers }: ResponseHead, headerName: string): string | undefined {
+  return headers.find(({ name }) => name.toLowerCase() === headerName)?.value;
 }
 
-/** The slot of a placement; its end makes room for what waits. */
+/** Creates the slot of a placement. Disposing of the slot ends the placement and starts waiting requests. */
 export function createSlot(
   placement: Placement<Waiter>,
   control: ServiceControl,
@@ -43,7 +43,7 @@
   let result: 'answered' | 'withoutAnswer' = 'withoutAnswer';
   let isOpen = true;
 
-  const noteReport = (head: ResponseHead) => {
+  const recordReport = (head: ResponseHead) => {
     const header = headerOf(head, LOAD_REPORT_HEADER);
     const metrics = header === undefined ? undefined : readLoadReport(header);
     if (metrics === undefined) return;
@@ -51,16 +51,16 @@
     scheduler.noteReport(server.serverId, { atMs: nowMs, ...metrics }, nowMs);
   };
 
-  const noteHead = (head: ResponseHead): ResponseHead => {
+  const recordHead = (head: ResponseHead): ResponseHead => {
     status = head.status;
     isStream = headerOf(head, 'content-type')?.startsWith('text/event-stream') ?? false;
-    noteReport(head);
-    // The report is between the servers and this system.
+    recordReport(head);
+    // The report is internal to the servers and this system, so callers do not get it.
     const headers = head.headers.filter(({ name }) => name.toLowerCase() !== LOAD_REPORT_HEADER);
     return { ...head, headers };
   };
 
-  const noteChunk = (chunk: Uint8Array) => {
+  const recordChunk = (chunk: Uint8Array) => {
     if (!hasFirstByte) scheduler.firstByte(placement);
     hasFirstByte = true;
     outputTokens += isStream ? countEvents(chunk) : chunk.length / BYTES_PER_TOKEN;
@@ -76,9 +76,9 @@
       get headSent() {
         return sink.headSent;
       },
-      sendHead: (head) => sink.sendHead(noteHead(head)),
+      sendHead: (head) => sink.sendHead(recordHead(head)),
       sendChunk(chunk) {
-        noteChunk(chunk);
+        recordChunk(chunk);
         return sink.sendChunk(chunk);
       },
       end: () => sink.end(),
@@ -92,7 +92,7 @@
       isOpen = false;
       scheduler.end(placement, result, clock.monotonicMs());
       if (result === 'answered') scheduler.noteOutput(placement, outputTokens);
-      control.pump();
+      control.dispatch();
     },
   };
 }
--- a/src/core/load-control/types.ts
+++ b/src/core/load-control/types.ts
@@ -1,29 +1,30 @@
 import type { GatewayRequest, ResponseSink } from '../serving/types';
 import type { HomeOutlook } from '../spillover';
 
-/** A request's turn at a server; disposing of it gives the place free. */
+/** The turn of a request at a server. Disposing of it frees the capacity for others. */
 export interface Slot extends Disposable {
   readonly serverId: string;
   readonly address: string;
-  /** Servers that were near, and why this one was chosen. */
+  /** Servers that were close alternatives. */
   readonly runnersUp: readonly string[];
+  /** Why this server was chosen. */
   readonly reason: string;
   readonly waitedMs: number;
-  /** Passes an answer on and learns from it: first byte, size, load report. */
+  /** Wraps the sink of an answer to record its first byte, size and load report. */
   observe(sink: ResponseSink): ResponseSink;
-  /** The answer was whole. */
+  /** Marks the answer as complete. */
   answered(): void;
 }
 
-/** Whether a server may have a request. */
+/** Returns whether a server may receive a request. */
 export type MayUse = (serverId: string) => boolean;
 
-/** Admission, queues and routing of all services at this instance. */
+/** Admission, queueing and routing of all services at this instance. */
 export interface LoadControl extends Disposable {
-  /** Whether some server of the region may have the request at all. */
+  /** Returns whether any server of the region may receive the request at all. */
   canServe(request: GatewayRequest, mayUse: MayUse): boolean;
-  /** How the request would fare here; for whoever weighs another region. */
+  /** Predicts the wait and load for the request here, for comparison with another region. */
   outlook(request: GatewayRequest, mayUse: MayUse): HomeOutlook;
-  /** Waits for a turn; throws a `RefusalError` at once where it would come too late. */
+  /** Waits for a turn. Rejects with a `RefusalError` at once if the turn would come too late. */
   acquire(request: GatewayRequest, mayUse: MayUse, signal: AbortSignal): Promise<Slot>;
 }
--- a/src/core/queueing/class-queue.ts
+++ b/src/core/queueing/class-queue.ts
@@ -3,13 +3,13 @@
 import type { QueueEntry } from './types';
 
 /**
- * The waiting requests of one priority class: start-time fair queueing between callers by estimated work, and
- * short work before long within a caller.
+ * Waiting requests of one priority class: start-time fair queueing between callers by estimated work, and short
+ * work before long work within a caller.
  *
- * It answers a few callers that bring most of the load. In one common FIFO queue everyone waits behind the
- * thousand requests of a batch job; one would notice that all callers' latency rises with one caller's rate.
- * Here each caller has a tag that grows by the work it was given, and the lowest tag goes next; a caller that
- * was idle starts at the current tag, so that it neither pays for nor profits from its pause.
+ * In a single FIFO queue, everyone waits behind the thousand requests of one batch job, and the latency of all
+ * callers rises with the rate of one. Here each caller has a tag that grows by the work it was given, and the
+ * caller with the lowest tag goes next. A caller that was idle starts at the current tag, so that its pause is
+ * neither an advantage nor a disadvantage.
  */
 export interface ClassQueue<Item> {
   size(): number;
@@ -20,35 +20,38 @@
   peek(): QueueEntry<Item> | undefined;
   shift(): QueueEntry<Item> | undefined;
   remove(entry: QueueEntry<Item>): void;
-  /** When the one that has waited longest came; undefined when nothing waits. */
+  /** Returns the arrival time of the entry that has waited longest; undefined when nothing waits. */
   oldestArrivalAtMs(): number | undefined;
-  /** Makes the one that has waited longest the next. */
+  /** Makes the entry that has waited longest the next one. */
   promoteOldest(): void;
 }
 
 /**
- * How long after it a shorter request of the same caller may come and still go first, per unit that it is
- * shorter. Half a ms a unit is about what a unit takes to run: long work can be overtaken only by what
- * comes while it would itself have been running, so it never waits for ever.
+ * Time by which a shorter request of the same caller may arrive later and still go first, per unit of difference in
+ * size. Half a ms per unit is about the time a unit takes to run, so long work can be overtaken only by requests
+ * that arrive while it would itself have been running, and never starves.
  */
 export const OVERTAKING_MS_PER_UNIT = 0.5;
 
-/** Callers whose accounts are kept although nothing of theirs waits; beyond it, settled ones are dropped. */
-const KEPT_IDLE_CALLERS = 256;
+/**
+ * Number of callers without waiting requests whose flows are kept. Above it, flows are dropped if their tag is not
+ * above the current one: a new flow of the caller would be equal.
+ */
+const MAX_IDLE_CALLERS = 256;
 
 interface CallerFlow<Item> {
-  /** Work given to the caller so far, on the class's common scale. */
+  /** Work given to the caller so far, on the scale of `currentTag`. */
   tag: number;
   queuedUnits: number;
   queuedCount: number;
   readonly entries: Heap<QueueEntry<Item>>;
 }
 
-function rank<Item>(entry: QueueEntry<Item>): number {
+function orderKey<Item>(entry: QueueEntry<Item>): number {
   return entry.arrivedAtMs + entry.units * OVERTAKING_MS_PER_UNIT;
 }
 
-/** An empty class. */
+/** Creates an empty queue for one class. */
 export function createClassQueue<Item>(): ClassQueue<Item> {
   const flows = new Map<string, CallerFlow<Item>>();
   const turns = createHeap<{ readonly tag: number; readonly flow: CallerFlow<Item> }>(
@@ -57,12 +60,13 @@
   const byAge = createHeap<QueueEntry<Item>>((left, right) => left.arrivedAtMs < right.arrivedAtMs);
   const waiting = new Set<QueueEntry<Item>>();
   let promoted: QueueEntry<Item> | undefined;
+  // The virtual time of fair queueing: the tag at which a caller that was idle starts.
   let currentTag = 0;
   let totalUnits = 0;
   let activeCallers = 0;
 
-  const dropSettled = () => {
-    if (flows.size <= 2 * activeCallers + KEPT_IDLE_CALLERS) return;
+  const dropIdleFlows = () => {
+    if (flows.size <= 2 * activeCallers + MAX_IDLE_CALLERS) return;
     for (const [callerId, flow] of flows) {
       if (flow.queuedCount === 0 && flow.tag <= currentTag) flows.delete(callerId);
     }
@@ -75,14 +79,14 @@
       tag: currentTag,
       queuedUnits: 0,
       queuedCount: 0,
-      entries: createHeap((left, right) => rank(left) < rank(right)),
+      entries: createHeap((left, right) => orderKey(left) < orderKey(right)),
     };
     flows.set(callerId, flow);
-    dropSettled();
+    dropIdleFlows();
     return flow;
   };
 
-  const forget = (entry: QueueEntry<Item>): CallerFlow<Item> => {
+  const removeWaiting = (entry: QueueEntry<Item>): CallerFlow<Item> => {
     const flow = flowOf(entry.callerId);
     waiting.delete(entry);
     flow.queuedCount -= 1;
@@ -93,8 +97,11 @@
     return flow;
   };
 
-  /** Drops turns whose caller has nothing waiting or has been given work since, and removed entries. */
-  const settleTop = () => {
+  /**
+   * Discards outdated turns (their caller has no waiting requests or has been given work since) and removed entries
+   * from the top.
+   */
+  const discardStaleTurns = () => {
     for (let top = turns.peek(); top !== undefined; top = turns.peek()) {
       const { flow, tag } = top;
       if (flow.queuedCount > 0 && flow.tag === tag) {
@@ -109,7 +116,7 @@
 
   const peek = (): QueueEntry<Item> | undefined => {
     if (promoted !== undefined) return promoted;
-    settleTop();
+    discardStaleTurns();
     return turns.peek()?.flow.entries.peek();
   };
 
@@ -152,14 +159,14 @@
     shift() {
       const entry = peek();
       if (entry === undefined) return undefined;
-      const flow = forget(entry);
+      const flow = removeWaiting(entry);
       currentTag = Math.max(currentTag, Math.min(flow.tag, turns.peek()?.tag ?? flow.tag));
       flow.tag += entry.units;
       if (flow.queuedCount > 0) turns.push({ tag: flow.tag, flow });
       return entry;
     },
     remove(entry) {
-      if (waiting.has(entry)) forget(entry);
+      if (waiting.has(entry)) removeWaiting(entry);
     },
     oldestArrivalAtMs: () => oldest()?.arrivedAtMs,
     promoteOldest() {
--- a/src/core/queueing/fair-queue.test.ts
+++ b/src/core/queueing/fair-queue.test.ts
@@ -43,23 +43,23 @@
   );
 
 describe('a fair queue', () => {
-  // A batch job sends a hundred requests at once, and a salesman with one stock check comes right after. In one
-  // FIFO queue his check would wait behind all hundred, and the customer on the phone with it.
-  it('lets a light caller’s request pass a heavy caller’s hundred', () => {
+  // A batch job sends a hundred requests at once, and a stock check of another caller arrives right after. In a
+  // single FIFO queue, the check would wait behind all hundred.
+  it('lets the request of a light caller go before the hundred of a heavy caller', () => {
     const queue = fill([...many(100, 'heavy', 10), entry('light', 'light', 10)]);
     assert.ok(drain(queue, 0).indexOf('light') <= 1);
   });
 
-  it('gives two callers the same work, whatever the size of their requests', () => {
+  it('gives two callers the same amount of work, whatever the size of their requests', () => {
     const queue = fill([...many(40, 'small', 10), ...many(10, 'large', 40)]);
     const first = drain(queue, 0).slice(0, 25);
     const small = first.filter((item) => item.startsWith('small')).length;
     assert.equal(small, 20);
   });
 
-  // Floor plans of one desk are read while the same desk asks for stock. A question that came a little after a
-  // plan would wait as long as the plan takes.
-  it('lets short work of a caller pass long work that came shortly before', () => {
+  // One caller sends long requests (floor plans) and short ones (questions about stock). Without reordering, a
+  // question that arrives shortly after a plan would wait as long as the plan takes.
+  it('lets short work of a caller overtake long work that arrived shortly before', () => {
     const queue = fill([
       entry('plan', 'desk', 10_000),
       entry('question', 'desk', 100, { arrivedAtMs: 500 }),
@@ -74,9 +74,9 @@
     assert.equal(first.filter((item) => item.startsWith('plans')).length, 10);
   });
 
-  // On a busy day questions never stop coming. Without a bound a dossier would wait until the evening, and the
-  // seafarer miss the sailing.
-  it('lets batch work go next once it has waited for its longest wait', () => {
+  // On a busy day there is always interactive work. Without a bound on the wait, batch work would starve until the
+  // evening.
+  it('lets batch work go next once it has waited for its maximum wait', () => {
     const queue = fill([...many(10, 'chat', 10), ...many(2, 'plan', 10_000, 'batch')]);
     const first = [queue.shift(0), queue.shift(0)].map((next) => next?.item);
     assert.deepEqual(first, ['chat0', 'plan0']);
@@ -85,9 +85,9 @@
     assert.equal(queue.shift(5_001)?.item, 'chat1');
   });
 
-  // A request whose time no longer suffices would keep a server busy with an answer that its caller has given
-  // up, and everyone behind it would miss the deadline too.
-  it('lets go what can no longer be whole in time, before it runs', () => {
+  // A request that can no longer complete in time would keep a server busy with an answer that its caller has given
+  // up on, and every request behind it would miss its deadline too.
+  it('removes requests that can no longer complete in time before they run', () => {
     const queue = fill([
       entry('soon', 'a', 10, { latestStartAtMs: 100 }),
       entry('later', 'b', 10, { latestStartAtMs: 900 }),
@@ -100,13 +100,13 @@
     assert.deepEqual(drain(queue, 101), ['later']);
   });
 
-  it('tells how much work goes before a light and before a heavy caller’s next request', () => {
+  it('estimates the work ahead of the next request of a light and of a heavy caller', () => {
     const queue = fill(many(100, 'heavy', 10));
     assert.equal(queue.unitsAhead('interactive', 'heavy', 10), 1_000);
     assert.ok(queue.unitsAhead('interactive', 'light', 10) <= 20);
   });
 
-  it('gives a sparse turn once, and not to a caller that has just had one', () => {
+  it('gives a sparse turn once, and not to a caller that has just had a turn', () => {
     const queue = fill(many(10, 'heavy', 10));
     assert.equal(queue.takeSparseTurn('interactive', 'light', 10), true);
     assert.equal(queue.takeSparseTurn('interactive', 'light', 10), false);
--- a/src/core/queueing/fair-queue.ts
+++ b/src/core/queueing/fair-queue.ts
@@ -3,11 +3,11 @@
 import { createHeap } from './heap';
 import type { FairQueue, QueueEntry } from './types';
 
-/** How a queue divides its turns. */
+/** Options for how a queue divides its turns between priority classes. */
 export interface FairQueueOptions {
-  /** Share of the work that batch requests get while interactive ones wait too, 0 to 1. */
+  /** Share of the work that batch requests get while interactive requests wait too, 0 to 1. */
   readonly batchShare: number;
-  /** A batch request that has waited longer goes next, whatever else waits, ms. */
+  /** A batch request that has waited longer than this goes next, whatever else waits, ms. */
   readonly batchLongestWaitMs: number;
 }
 
@@ -16,13 +16,14 @@
 }
 
 /**
- * The waiting requests of one service.
+ * Creates a queue for the waiting requests of one service.
  *
- * It answers long work among short: a plan reading or a dossier takes as much as a hundred stock checks, and
- * in a FIFO queue the checks wait behind it. Interactive work goes first; batch work keeps a share
- * of the turns, and goes next once it has waited for its longest wait, for without a bound a busy day would
- * hold it for hours. Work that can't be whole before its deadline leaves before it runs: were it run, the
- * servers would be busy with answers that nobody waits for, and everyone after it would miss the deadline too.
+ * Long work must not delay short work: reading a floor plan or a dossier takes as much as a hundred stock checks,
+ * and in a FIFO queue the checks would wait behind it. Interactive work goes first. Batch work keeps a share of the
+ * turns, and goes next once it has waited for its maximum wait; without that bound, a busy day would hold it for
+ * hours. Requests that can no longer complete before their deadline leave the queue before they run. Otherwise the
+ * servers would be busy with answers that nobody waits for, and every request behind them would miss its deadline
+ * too.
  */
 export function createFairQueue<Item>(options: FairQueueOptions): FairQueue<Item> {
   const classes = {
@@ -33,7 +34,7 @@
     interactive: 1 - options.batchShare,
     batch: options.batchShare,
   };
-  /** Weighted work given to each class while both had some waiting. */
+  /** Weighted work given to each class while both had waiting requests. */
   const tags: Record<Priority, number> = { interactive: 0, batch: 0 };
   const expiries = createHeap<QueueEntry<Item>>(
     (left, right) => left.latestStartAtMs < right.latestStartAtMs,
@@ -72,8 +73,8 @@
       const ownClass = classes[priority].unitsAhead(callerId, units);
       const otherPriority = otherOf(priority);
       const otherUnits = classes[otherPriority].units();
-      const turnsOfOther = (weights[otherPriority] / weights[priority]) * (ownClass + units);
-      return ownClass + Math.min(otherUnits, turnsOfOther);
+      const otherClassShare = (weights[otherPriority] / weights[priority]) * (ownClass + units);
+      return ownClass + Math.min(otherUnits, otherClassShare);
     },
     takeSparseTurn: (priority, callerId, units) =>
       classes[priority].takeSparseTurn(callerId, units),
--- a/src/core/queueing/heap.ts
+++ b/src/core/queueing/heap.ts
@@ -1,4 +1,4 @@
-/** A binary heap: the least item first, in O(log n) a change. */
+/** A binary heap with the smallest item first; each change takes O(log n). */
 export interface Heap<Item> {
   size(): number;
   peek(): Item | undefined;
@@ -6,7 +6,7 @@
   pop(): Item | undefined;
 }
 
-/** An empty heap in the order of `isBefore`. */
+/** Creates an empty heap ordered by `isBefore`. */
 export function createHeap<Item>(isBefore: (left: Item, right: Item) => boolean): Heap<Item> {
   const items: Item[] = [];
   const at = (index: number): Item => items[index] as Item;
--- a/src/core/queueing/index.ts
+++ b/src/core/queueing/index.ts
@@ -1,4 +1,4 @@
-/** In which order waiting requests run, and which leave before they run. */
+/** The order in which waiting requests run, and which of them leave the queue before they run. */
 export { createFairQueue } from './fair-queue';
 export type { FairQueueOptions } from './fair-queue';
 export { createStandingQueue } from './standing-queue';
--- a/src/core/queueing/standing-queue.ts
+++ b/src/core/queueing/standing-queue.ts
@@ -1,78 +1,78 @@
 import type { Priority } from '../configuration';
 
 /**
- * Tells a burst from lasting overload, after CoDel (RFC 8289): a queue that does its work empties now and then,
- * one that never does within an interval only adds delay.
+ * Distinguishes a burst from lasting overload, after CoDel (RFC 8289): a queue that does its work empties now and
+ * then, and one that never does within an interval only adds delay.
  *
- * It answers saturation. With waits allowed up to the deadline, a service offered 1.5 times its capacity fills
- * its queue once and then keeps it full: throughput is the same, and every answer comes at its deadline's edge.
- * Operators would see a latency that stays at the deadline for as long as the overload lasts.
+ * Without this, waits are allowed up to the deadline. A service that is offered 1.5 times its capacity then fills
+ * its queue once and keeps it full: the throughput is the same, and every answer comes just before its deadline.
+ * Operators would see latency stay at the deadline for as long as the overload lasts.
  */
 export interface StandingQueue {
-  /** Notes how long a request of a class and caller had waited when its turn came. */
-  noteTurn(flow: QueueFlow, waitMs: number, nowMs: number): void;
-  /** Whether the queue stands: that of the class, or that of the caller in it. */
+  /** Records how long a request of a class and caller had waited when its turn came. */
+  recordTurn(flow: QueueFlow, waitMs: number, nowMs: number): void;
+  /** Returns whether the queue of the class, or that of the caller within it, is standing. */
   isStanding(flow: QueueFlow, nowMs: number): boolean;
 }
 
-/** Whose requests are meant. */
+/** The requests of one caller in one priority class. */
 export interface QueueFlow {
   readonly priority: Priority;
   readonly callerId: string;
 }
 
-/** Waits above which a queue counts as standing, ms. */
+/** Wait above which a queue counts as standing, per class, ms. */
 export type StandingTargets = Readonly<Record<Priority, number>>;
 
-/** How long a queue may go without one short wait before it counts as standing. */
+/** Interval without a single short wait after which a queue counts as standing, ms. */
 const INTERVAL_MS = 1_000;
 
-/** After this long without a turn nothing is said of a queue any more. */
-const FORGOTTEN_AFTER_MS = 10_000;
+/** Time without a turn after which a queue no longer counts as standing, ms. */
+const STALE_AFTER_MS = 10_000;
 
-/** Callers beyond this many are looked through for forgotten ones. */
-const MOST_CALLERS = 1_000;
+/** Number of callers above which the detectors of queues that are not standing are dropped. */
+const MAX_CALLERS = 1_000;
 
-/** Share of the target below which all waits of an interval must stay for a standing queue to count as dissolved. */
-const DISSOLVED_SHARE = 0.5;
+/** Share of the target below which all waits of an interval must stay for a standing queue to count as cleared. */
+const CLEARED_SHARE = 0.5;
 
 interface Detector {
-  noteWait(waitMs: number, nowMs: number): void;
+  recordWait(waitMs: number, nowMs: number): void;
   isStanding(nowMs: number): boolean;
 }
 
 /**
- * A queue becomes standing by an interval without a short wait, and dissolves by one without a long wait. Were one
- * short wait enough to dissolve it, lasting overload would make it swing: let in all that fits the deadline
- * for an interval, refuse for the next.
+ * Creates a detector of a standing queue. A queue becomes standing after an interval without a short wait, and is
+ * cleared after one without a long wait. If a single short wait cleared it, lasting overload would make it
+ * oscillate: admit everything that fits the deadline for one interval, and refuse it in the next.
  */
 function createDetector(targetMs: number): Detector {
   let intervalEndsAtMs: number | undefined;
-  let shortestWaitMs = Number.POSITIVE_INFINITY;
-  let longestWaitMs = 0;
-  let lastNotedAtMs = Number.NEGATIVE_INFINITY;
+  let minWaitMs = Number.POSITIVE_INFINITY;
+  let maxWaitMs = 0;
+  let lastRecordedAtMs = Number.NEGATIVE_INFINITY;
   let standing = false;
 
   return {
-    noteWait(waitMs, nowMs) {
+    recordWait(waitMs, nowMs) {
       intervalEndsAtMs ??= nowMs + INTERVAL_MS;
-      lastNotedAtMs = nowMs;
-      shortestWaitMs = Math.min(shortestWaitMs, waitMs);
-      longestWaitMs = Math.max(longestWaitMs, waitMs);
+      lastRecordedAtMs = nowMs;
+      minWaitMs = Math.min(minWaitMs, waitMs);
+      maxWaitMs = Math.max(maxWaitMs, waitMs);
       if (nowMs < intervalEndsAtMs) return;
-      if (shortestWaitMs > targetMs) standing = true;
-      else if (longestWaitMs < DISSOLVED_SHARE * targetMs) standing = false;
-      shortestWaitMs = Number.POSITIVE_INFINITY;
-      longestWaitMs = 0;
+      if (minWaitMs > targetMs) standing = true;
+      else if (maxWaitMs < CLEARED_SHARE * targetMs) standing = false;
+      minWaitMs = Number.POSITIVE_INFINITY;
+      maxWaitMs = 0;
       intervalEndsAtMs = nowMs + INTERVAL_MS;
     },
-    isStanding: (nowMs) => standing && nowMs - lastNotedAtMs < FORGOTTEN_AFTER_MS,
+    isStanding: (nowMs) => standing && nowMs - lastRecordedAtMs < STALE_AFTER_MS,
   };
 }
 
 /**
- * Detectors for each class and for each caller. In a queue that is fair between callers a light one's short
- * waits would hide that a heavy one's own requests stand.
+ * Creates detectors for each class and for each caller. In a queue that is fair between callers, the short waits of
+ * a light caller would hide that the requests of a heavy caller keep waiting.
  */
 export function createStandingQueue(targets: StandingTargets): StandingQueue {
   const classes: Readonly<Record<Priority, Detector>> = {
@@ -82,18 +82,18 @@
   const callers = new Map<string, Detector>();
   const keyOf = ({ priority, callerId }: QueueFlow) => `${priority}/${callerId}`;
 
-  const dropSettled = (nowMs: number) => {
+  const dropNotStanding = (nowMs: number) => {
     for (const [key, detector] of callers) if (!detector.isStanding(nowMs)) callers.delete(key);
   };
 
   return {
-    noteTurn(flow, waitMs, nowMs) {
-      classes[flow.priority].noteWait(waitMs, nowMs);
+    recordTurn(flow, waitMs, nowMs) {
+      classes[flow.priority].recordWait(waitMs, nowMs);
       const known = callers.get(keyOf(flow));
-      if (known === undefined && callers.size >= MOST_CALLERS) dropSettled(nowMs);
+      if (known === undefined && callers.size >= MAX_CALLERS) dropNotStanding(nowMs);
       const own = known ?? createDetector(targets[flow.priority]);
       callers.set(keyOf(flow), own);
-      own.noteWait(waitMs, nowMs);
+      own.recordWait(waitMs, nowMs);
     },
     isStanding: (flow, nowMs) =>
       classes[flow.priority].isStanding(nowMs) ||
--- a/src/core/queueing/types.ts
+++ b/src/core/queueing/types.ts
@@ -1,6 +1,6 @@
 import type { Priority } from '../configuration';
 
-/** What waits for its turn. */
+/** A request that waits for its turn. */
 export interface QueueEntry<Item> {
   readonly item: Item;
   readonly callerId: string;
@@ -8,31 +8,34 @@
   /** Estimated work. */
   readonly units: number;
   readonly arrivedAtMs: number;
-  /** Begun later than this it can't be whole before its deadline. */
+  /** Latest start at which it can complete before its deadline. */
   readonly latestStartAtMs: number;
 }
 
-/** Waiting requests of one service, in the order in which they shall run. */
+/** Waiting requests of one service, in the order in which they are to run. */
 export interface FairQueue<Item> {
   size(): number;
-  /** Work waiting in a class. */
+  /** Returns the work that waits in a class. */
   queuedUnits(priority: Priority): number;
-  /** Work that would probably run before a request of this caller that came now. */
+  /** Returns the work that is likely to run before a request of this caller that arrives now. */
   unitsAhead(priority: Priority, callerId: string, units: number): number;
   /**
-   * Whether a caller has had less than its fair part of late and has nothing waiting; if so, `units` are put to
-   * its account, as for a turn.
+   * Returns whether a caller has recently had less than its fair share and has nothing waiting (a sparse flow). If
+   * so, `units` are charged to it, as for a turn.
    */
   takeSparseTurn(priority: Priority, callerId: string, units: number): boolean;
   push(entry: QueueEntry<Item>): void;
-  /** The entry whose turn it is; it stays until `shift`. */
+  /**
+   * Returns the entry whose turn it is; it stays in the queue until `shift`. `blocked` is a class without capacity,
+   * so that the other has its turn.
+   */
   peek(nowMs: number, blocked?: Priority): QueueEntry<Item> | undefined;
-  /** Takes what `peek` showed. `blocked` is a class for which there is no room, so that the other has its turn. */
+  /** Removes and returns the entry that `peek` returns for the same arguments. */
   shift(nowMs: number, blocked?: Priority): QueueEntry<Item> | undefined;
-  /** Takes an entry out, for example since its caller has gone. */
+  /** Removes an entry, for example because its caller has disconnected. */
   remove(entry: QueueEntry<Item>): void;
-  /** Takes out all that can no longer be whole before their deadline. */
+  /** Removes and returns all entries that can no longer complete before their deadline. */
   takeExpired(nowMs: number): readonly QueueEntry<Item>[];
-  /** When the next entry expires; undefined when nothing waits. */
+  /** Returns the time at which the next entry expires; undefined when nothing waits. */
   nextExpiryAtMs(): number | undefined;
 }
--- a/src/core/routing/choose-server.test.ts
+++ b/src/core/routing/choose-server.test.ts
@@ -18,7 +18,7 @@
 
 function createPool(count: number): ServerPool {
   const pool = createServerPool(() =>
-    createAdaptiveLimit({ firstRequestUnits: 3_000, tolerance: 3 }),
+    createAdaptiveLimit({ initialRequestUnits: 3_000, tolerance: 3 }),
   );
   pool.replace(
     Array.from({ length: count }, (_unused, index) => ({
--- a/src/core/scheduling/create-service-scheduler.ts
+++ b/src/core/scheduling/create-service-scheduler.ts
@@ -1,5 +1,5 @@
 import {
-  FIRST_LIMIT_REQUESTS,
+  INITIAL_LIMIT_REQUESTS,
   STRETCH_TOLERANCE,
   createAdaptiveLimit,
   createLatencyBaseline,
@@ -28,46 +28,48 @@
   ServiceScheduler,
 } from './types';
 
-/** Size of a request, as long as none was seen, units. */
-const FIRST_REQUEST_UNITS = { engine: 2_000, plain: 1 } as const;
+/** Assumed size of a request until one has ended, units. */
+const INITIAL_REQUEST_UNITS = { engine: 2_000, plain: 1 } as const;
 
-/** Use of a server up to which its answers may raise the baseline of latency. */
-const LITTLE_USE = 0.5;
+/** Utilisation of a server up to which its answers may raise the latency baseline. */
+const MAX_BASELINE_UTILISATION = 0.5;
 
-/** Requests in a server's own queue, as a share of those it runs, from which its limit shrinks. */
-const SERVER_QUEUE_SHARE = 0.1;
+/** Requests waiting in a server's own queue, as a share of those it runs, above which its limit decreases. */
+const MAX_SERVER_QUEUE_SHARE = 0.1;
 
-/** Requests without a usable server that are passed over in one round, so that they don't hold up the rest. */
-const MOST_PASSED_OVER = 4;
+/**
+ * Maximum number of requests without a usable server that are skipped per round, so that they don't block the rest.
+ */
+const MAX_SKIPPED = 4;
 
-/** A scheduler of one service; its servers are told by `replaceServers`. */
+/** Creates a scheduler of one service without servers; `replaceServers` sets them. */
 export function createServiceScheduler<Item>(options: SchedulerOptions): ServiceScheduler<Item> {
   const { kind, random, ownFailureDomain } = options;
-  const firstRequestUnits = FIRST_REQUEST_UNITS[kind];
+  const initialRequestUnits = INITIAL_REQUEST_UNITS[kind];
   const limitOptions = {
-    firstRequestUnits,
+    initialRequestUnits,
     tolerance: STRETCH_TOLERANCE[kind],
     ...(options.limitRule === undefined ? {} : { rule: options.limitRule }),
   };
   const pool = createServerPool(() => createAdaptiveLimit(limitOptions));
   const prefixIndex = createPrefixIndex();
   const longPrompts = createLongPrompts();
-  const outputs = createOutputEstimator();
+  const outputEstimator = createOutputEstimator();
   const baseline = createLatencyBaseline();
-  const rate = createServiceRate();
+  const serviceRate = createServiceRate();
   const retrySlots = createRetrySlots();
-  const longestWaits = {
+  const maxStandingWaits = {
     interactive: options.standingWaitMs,
     batch: Math.max(options.standingWaitMs, options.batchLongestWaitMs),
   };
-  const standing = createStandingQueue(longestWaits);
+  const standingQueue = createStandingQueue(maxStandingWaits);
   const queue = createFairQueue<ScheduledRequest<Item>>(options);
   const entries = new Map<ScheduledRequest<Item>, QueueEntry<ScheduledRequest<Item>>>();
   const createServiceLimit = (servers: number): AdaptiveLimit =>
     createAdaptiveLimit({
       ...limitOptions,
       tolerance: STRETCH_TOLERANCE.service,
-      firstLimitRequests: FIRST_LIMIT_REQUESTS * Math.max(1, servers),
+      initialLimitRequests: INITIAL_LIMIT_REQUESTS * Math.max(1, servers),
     });
   let serviceLimit = createServiceLimit(1);
 
@@ -87,7 +89,7 @@
   const choose = (request: ScheduledRequest<Item>, nowMs: number): ServerChoice | undefined =>
     serviceLimit.hasRoom() ? chooseServer(choiceInput(request, nowMs)) : undefined;
 
-  /** For interactive work of light callers while others' waits. */
+  /** Chooses a server for interactive work of callers with sparse flows while requests of others wait. */
   const chooseForSparse = (
     request: ScheduledRequest<Item>,
     nowMs: number,
@@ -121,7 +123,7 @@
     (baseline.expectedMs(units) ?? 0) * Math.max(1, serviceLimit.stretch());
 
   const unitsPerMs = (): number =>
-    rate.unitsPerMs(
+    serviceRate.unitsPerMs(
       Math.max(
         serviceLimit.inFlightUnits(),
         Math.min(pool.limitUnits(), serviceLimit.limitUnits()),
@@ -130,9 +132,9 @@
 
   const expectedWaitMs = ({ priority, callerId, work }: ScheduledRequest<Item>): number => {
     if (queue.size() === 0) return 0;
-    const unitsEachMs = unitsPerMs();
-    if (unitsEachMs === 0) return 0;
-    return (queue.unitsAhead(priority, callerId, work.units) + work.units) / unitsEachMs;
+    const rateUnitsPerMs = unitsPerMs();
+    if (rateUnitsPerMs === 0) return 0;
+    return (queue.unitsAhead(priority, callerId, work.units) + work.units) / rateUnitsPerMs;
   };
 
   const refuse = (
@@ -148,38 +150,38 @@
     retryAtMs: retrySlots.next(request.work.units, excessMs, unitsPerMs(), nowMs),
   });
 
-  const admission = (request: ScheduledRequest<Item>, waitMs: number, nowMs: number) =>
+  const evaluateAdmission = (request: ScheduledRequest<Item>, waitMs: number, nowMs: number) =>
     decideAdmission({
       nowMs,
       deadlineAtMs: request.deadlineAtMs,
       expectedWaitMs: waitMs,
       expectedServiceMs: expectedServiceMs(request.work.units),
-      isQueueStanding: standing.isStanding(request, nowMs),
-      standingWaitMs: longestWaits[request.priority],
+      isQueueStanding: standingQueue.isStanding(request, nowMs),
+      standingWaitMs: maxStandingWaits[request.priority],
     });
 
-  const mayAnyServe = (request: ScheduledRequest<Item>): boolean =>
+  const canAnyServerServe = (request: ScheduledRequest<Item>): boolean =>
     pool.all().some(({ serverId }) => request.mayUse(serverId));
 
-  const learn = ({ request, choice, open, utilisation }: Placement<Item>, nowMs: number) => {
+  const recordAnswer = ({ request, choice, open, utilisation }: Placement<Item>, nowMs: number) => {
     const { units } = request.work;
     const { limit } = choice.server;
     const latencyMs = nowMs - open.begunAtMs;
     const isAlone = limit.inFlightRequests() <= 1;
-    baseline.learn(units, latencyMs, utilisation < LITTLE_USE || isAlone);
-    rate.learn(units, latencyMs);
+    baseline.learn(units, latencyMs, utilisation < MAX_BASELINE_UTILISATION || isAlone);
+    serviceRate.learn(units, latencyMs);
     return { latencyMs, expectedMs: baseline.expectedMs(units) ?? latencyMs };
   };
 
-  const noteTurn = (request: ScheduledRequest<Item>, nowMs: number) => {
-    standing.noteTurn(request, nowMs - request.arrivedAtMs, nowMs);
+  const recordTurn = (request: ScheduledRequest<Item>, nowMs: number) => {
+    standingQueue.recordTurn(request, nowMs - request.arrivedAtMs, nowMs);
   };
 
-  const passOver = (request: ScheduledRequest<Item>): boolean =>
+  const canSkip = (request: ScheduledRequest<Item>): boolean =>
     serviceLimit.hasRoom() && pool.roomy().size() > 0 && entries.has(request);
 
   return {
-    estimate: (demand) => engineWork(demand, outputs.estimate(demand.maxOutputTokens)),
+    estimate: (demand) => engineWork(demand, outputEstimator.estimate(demand.maxOutputTokens)),
     offer(request, nowMs) {
       const { work, deadlineAtMs } = request;
       if (queue.size() === 0) {
@@ -189,15 +191,15 @@
           return refuse(request, 'deadline-too-near', 0, 0, nowMs);
         }
         if (choice !== undefined) {
-          noteTurn(request, nowMs);
+          recordTurn(request, nowMs);
           return { kind: 'run', placement: begin(request, choice, nowMs) };
         }
       }
       const sparse = chooseForSparse(request, nowMs);
       if (sparse !== undefined) return { kind: 'run', placement: begin(request, sparse, nowMs) };
-      if (!mayAnyServe(request)) return refuse(request, 'no-server', 0, 0, nowMs);
+      if (!canAnyServerServe(request)) return refuse(request, 'no-server', 0, 0, nowMs);
       const waitMs = expectedWaitMs(request);
-      const decision = admission(request, waitMs, nowMs);
+      const decision = evaluateAdmission(request, waitMs, nowMs);
       if (decision.kind === 'refuse') {
         return refuse(request, decision.reason, waitMs, decision.excessMs, nowMs);
       }
@@ -215,7 +217,7 @@
     },
     takeReady(nowMs) {
       const ready: Placement<Item>[] = [];
-      const passedOver: QueueEntry<ScheduledRequest<Item>>[] = [];
+      const skipped: QueueEntry<ScheduledRequest<Item>>[] = [];
       let blocked: Priority | undefined;
       for (;;) {
         const entry = queue.peek(nowMs, blocked);
@@ -225,15 +227,15 @@
         if (choice !== undefined) {
           queue.shift(nowMs, blocked);
           entries.delete(request);
-          noteTurn(request, nowMs);
+          recordTurn(request, nowMs);
           ready.push(begin(request, choice, nowMs));
-        } else if (passOver(request) && passedOver.length < MOST_PASSED_OVER) {
+        } else if (canSkip(request) && skipped.length < MAX_SKIPPED) {
           queue.remove(entry);
-          passedOver.push(entry);
+          skipped.push(entry);
         } else if (blocked === undefined && serviceLimit.hasRoom()) blocked = entry.priority;
         else break;
       }
-      passedOver.forEach((entry) => queue.push(entry));
+      skipped.forEach((entry) => queue.push(entry));
       return ready;
     },
     takeExpired: (nowMs) =>
@@ -255,7 +257,7 @@
       const { server } = choice;
       const end =
         result === 'answered'
-          ? ({ kind: 'answered', ...learn(placement, nowMs) } as const)
+          ? ({ kind: 'answered', ...recordAnswer(placement, nowMs) } as const)
           : ({ kind: 'withoutAnswer' } as const);
       server.end(open);
       server.limit.end(request.work.units, end, nowMs);
@@ -263,15 +265,15 @@
       pool.refresh(server);
     },
     noteOutput({ request }, outputTokens) {
-      outputs.learn(request.work.maxOutputTokens, outputTokens);
+      outputEstimator.learn(request.work.maxOutputTokens, outputTokens);
     },
     noteReport(serverId, report, nowMs) {
       const server: ServerState | undefined = pool.get(serverId);
       if (server === undefined) return;
       server.noteReport(report);
       const { waitingRequests, runningRequests } = report;
-      if (waitingRequests <= SERVER_QUEUE_SHARE * runningRequests) return;
-      server.limit.noteServerQueue(report.atMs, nowMs);
+      if (waitingRequests <= MAX_SERVER_QUEUE_SHARE * runningRequests) return;
+      server.limit.decreaseForServerQueue(report.atMs, nowMs);
       pool.refresh(server);
     },
     noteCacheEvent: (event) => prefixIndex.noteEvent(event),
@@ -282,12 +284,12 @@
       if (serviceLimit.inFlightRequests() > 0) return;
       serviceLimit = createServiceLimit(servers.length);
     },
-    canServe: mayAnyServe,
+    canServe: canAnyServerServe,
     outlook(request, nowMs) {
       const runsNow = queue.size() === 0 && choose(request, nowMs) !== undefined;
       const waitMs = runsNow ? 0 : expectedWaitMs(request);
       return {
-        wouldRefuse: !runsNow && admission(request, waitMs, nowMs).kind === 'refuse',
+        wouldRefuse: !runsNow && evaluateAdmission(request, waitMs, nowMs).kind === 'refuse',
         expectedWaitMs: waitMs,
         expectedServiceMs: expectedServiceMs(request.work.units),
         utilisation: serviceLimit.inFlightUnits() / Math.max(1, pool.limitUnits()),
--- a/src/core/scheduling/index.ts
+++ b/src/core/scheduling/index.ts
@@ -1,4 +1,4 @@
-/** Admission, queueing and routing of a service put together, as pure code. */
+/** Combines admission, queueing and routing of a service, without timers or I/O. */
 export { createServiceScheduler } from './create-service-scheduler';
 export type {
   ExpiredRequest,
--- a/src/core/scheduling/types.ts
+++ b/src/core/scheduling/types.ts
@@ -4,20 +4,20 @@
 import type { OpenWork, PoolServer, PrefixEvent, ServerChoice, ServerReport } from '../routing';
 import type { EngineDemand, WorkEstimate } from '../work';
 
-/** What a service's scheduler is made from. */
+/** Options of the scheduler of a service. */
 export interface SchedulerOptions {
   readonly kind: 'engine' | 'plain';
   readonly ownFailureDomain: string;
   readonly random: RandomSource;
   readonly batchShare: number;
   readonly batchLongestWaitMs: number;
-  /** Wait that is still granted interactive work while the queue is a standing one, ms. */
+  /** Maximum expected wait of interactive work while the queue is standing, ms. */
   readonly standingWaitMs: number;
-  /** How limits adapt; the gradient unless a measurement compares another. */
+  /** How limits adapt; the gradient rule by default. Measurements set it to compare other rules. */
   readonly limitRule?: LimitRule;
 }
 
-/** A request as the scheduler sees it; `Item` is whatever its owner needs to go on with it. */
+/** A request as the scheduler sees it. `Item` is what the scheduler's user needs to continue with the request. */
 export interface ScheduledRequest<Item> {
   readonly item: Item;
   readonly callerId: string;
@@ -25,25 +25,28 @@
   readonly work: WorkEstimate;
   readonly arrivedAtMs: number;
   readonly deadlineAtMs: number;
-  /** Whether a server may have it: not ejected, not leaving, not failed for it before. */
+  /**
+   * Returns whether a server may receive the request: it is not ejected or leaving, and has not failed for it
+   * before.
+   */
   readonly mayUse: (serverId: string) => boolean;
 }
 
-/** A request whose turn has come, and the server that was chosen; its owner must call `end`. */
+/** A request whose turn has come, and the server chosen for it. The user of the scheduler must call `end`. */
 export interface Placement<Item> {
   readonly request: ScheduledRequest<Item>;
   readonly choice: ServerChoice;
   readonly open: OpenWork;
-  /** Use of the server before the request was added, 0 to 1. */
+  /** Utilisation of the server before the request was added, 0 to 1. */
   readonly utilisation: number;
   readonly waitedMs: number;
 }
 
-/** Why a request was not let in. */
+/** Why a request was refused. */
 export type RefusalReason =
   'no-server' | 'deadline-too-near' | 'wait-outlasts-deadline' | 'standing-queue';
 
-/** What becomes of a request on arrival. */
+/** Decision on a request on arrival. */
 export type Offer<Item> =
   | { readonly kind: 'run'; readonly placement: Placement<Item> }
   | { readonly kind: 'wait'; readonly expectedWaitMs: number }
@@ -51,11 +54,11 @@
       readonly kind: 'refuse';
       readonly reason: RefusalReason;
       readonly expectedWaitMs: number;
-      /** When there is likely to be room. */
+      /** Time at which capacity is likely. */
       readonly retryAtMs: number;
     };
 
-/** A request that left the queue since it could no longer be whole in time. */
+/** A request that left the queue because it could no longer complete in time. */
 export interface ExpiredRequest<Item> {
   readonly request: ScheduledRequest<Item>;
   readonly retryAtMs: number;
@@ -64,39 +67,43 @@
 /** How a placement ended. */
 export type PlacementResult = 'answered' | 'withoutAnswer';
 
-/** How long a request would wait here, for whoever weighs another region. */
+/** Predicted wait and load of a request here, for comparison with another region. */
 export interface Outlook {
-  /** Whether it would be refused. */
+  /** Whether the request would be refused. */
   readonly wouldRefuse: boolean;
   readonly expectedWaitMs: number;
   readonly expectedServiceMs: number;
-  /** Work in flight against the limit, 0 to 1 and a little above. */
+  /** Work in flight relative to the limit, from 0 to slightly above 1. */
   readonly utilisation: number;
   readonly waitingRequests: number;
 }
 
-/** Admission, queue and routing of one service at this instance, without timers or sockets. */
+/** Admission, queueing and routing of one service at this instance, without timers or sockets. */
 export interface ServiceScheduler<Item> {
-  /** Work of a request to an engine, by what its like have brought so far. */
+  /** Estimates the work of a request to an engine, from the answers to similar requests so far. */
   estimate(demand: EngineDemand): WorkEstimate;
+  /** Decides on a request that arrives: it runs now, waits in the queue or is refused. */
   offer(request: ScheduledRequest<Item>, nowMs: number): Offer<Item>;
-  /** Requests that may begin now; to be asked after each `end` and each change of the servers. */
+  /** Returns the requests that may start now. Call it after each `end` and each change of the servers. */
   takeReady(nowMs: number): readonly Placement<Item>[];
+  /** Removes and returns the waiting requests that can no longer complete before their deadline. */
   takeExpired(nowMs: number): readonly ExpiredRequest<Item>[];
-  /** When `takeExpired` next has something; undefined when nothing waits. */
+  /** Returns the time at which `takeExpired` next has a result; undefined when nothing waits. */
   nextExpiryAtMs(): number | undefined;
-  /** Takes a waiting request out since its caller has gone. */
+  /** Removes a waiting request because its caller has disconnected. */
   remove(request: ScheduledRequest<Item>): void;
+  /** Records that the answer has begun, so the server has processed the prompt. */
   firstByte(placement: Placement<Item>): void;
+  /** Frees the capacity of a placement and, if it was answered, learns from its latency. */
   end(placement: Placement<Item>, result: PlacementResult, nowMs: number): void;
-  /** The answer's size, where it could be told. */
+  /** Records the size of the answer, where it is known. */
   noteOutput(placement: Placement<Item>, outputTokens: number): void;
   noteReport(serverId: string, report: ServerReport, nowMs: number): void;
   noteCacheEvent(event: PrefixEvent): void;
-  /** A server has crashed: its cache is gone. */
+  /** Forgets the cache contents of a server that has crashed. */
   forgetCache(serverId: string): void;
   replaceServers(servers: readonly PoolServer[]): void;
-  /** Whether any server may have the request at all, now or later. */
+  /** Returns whether any server may receive the request at all, now or later. */
   canServe(request: ScheduledRequest<Item>): boolean;
   outlook(request: ScheduledRequest<Item>, nowMs: number): Outlook;
 }
