--- a/src/core/draining/create-draining.ts
+++ b/src/core/draining/create-draining.ts
@@ -5,36 +5,38 @@
 import { DRAINING_EVENTS } from './events';
 import type { DrainHold, DrainPhase, OpenWork } from './types';
 
-/** The planned stop of this instance, for all who must behave differently in it. */
+/** Starts the planned stop of this instance, tracks the open work that it waits for and reports its phase. */
 export interface Draining {
   phase(): DrainPhase;
-  /** Whether a stop has begun, so that connections are closed after their answer. */
+  /** Whether the stop has begun; connections are then closed after their answer. */
   isLeaving(): boolean;
   openWork(): OpenWork;
-  /** Notes that any request has come in, whatever becomes of it. */
+  /** Records the arrival of a request, whether or not it is served. */
   noteArrival(): void;
-  /** Notes a request that is being served; disposing of the result notes its end. */
+  /** Counts a request as open until the result is disposed of. */
   begin(origin: 'caller' | 'peer'): Disposable;
-  /** Notes a request that was refused because of the stop. */
-  noteRefused(): void;
-  /** Keeps the instance from going for as long as `hold` is held. */
+  /** Records a request that was refused because of the stop. */
+  recordRefusal(): void;
+  /** Delays the end of the instance for as long as `hold` is held. */
   addHold(hold: DrainHold): Disposable;
-  /** Begins the stop, and resolves when the instance may go. */
+  /** Begins the stop; the promise resolves when the instance may end. */
   run(): Promise<void>;
 }
 
-/** What a planned stop is built from. */
+/** Options of `createDraining`. */
 export interface DrainingOptions {
   readonly clock: Clock;
   readonly logger: Logger;
-  /** How long the stop is told before new work is refused. */
+  /** Time for which the stop is announced before new requests are refused, ms. */
   readonly noticeMs: number;
 }
 
-const LOOK_EVERY_MS = 50;
-const SAY_EVERY_MS = 10_000;
+/** Interval at which the next step of the stop is decided, ms. */
+const POLL_INTERVAL_MS = 50;
+/** Interval between log events about the open work, ms. */
+const WAITING_LOG_INTERVAL_MS = 10_000;
 
-/** An instance that is not stopping yet. */
+/** Creates the control of the planned stop of this instance; the phase is `serving` until `run` is called. */
 export function createDraining({ clock, logger, noticeMs }: DrainingOptions): Draining {
   const holds = new Set<DrainHold>();
   let phase: DrainPhase = 'serving';
@@ -46,9 +48,9 @@
   let running: Promise<void> | undefined;
 
   const openWork = (): OpenWork => ({ callerRequests, peerRequests });
-  const heldBy = () => [...holds].filter((hold) => hold.isHeld()).map((hold) => hold.name);
+  const activeHolds = () => [...holds].filter((hold) => hold.isHeld()).map((hold) => hold.name);
 
-  const count = (origin: 'caller' | 'peer', by: number) => {
+  const adjustOpenRequests = (origin: 'caller' | 'peer', by: number) => {
     if (origin === 'caller') callerRequests += by;
     else peerRequests += by;
   };
@@ -57,13 +59,13 @@
     if (next === phase) return;
     phase = next;
     if (next === 'refusing') {
-      logger.event(DRAINING_EVENTS.refusing, { ...openWork(), holds: heldBy() });
+      logger.event(DRAINING_EVENTS.refusing, { ...openWork(), holds: activeHolds() });
     }
   };
 
   const run = async (): Promise<void> => {
     const noticeEndsAtMs = clock.monotonicMs() + noticeMs;
-    let sayAtMs = clock.monotonicMs() + SAY_EVERY_MS;
+    let nextLogAtMs = clock.monotonicMs() + WAITING_LOG_INTERVAL_MS;
     enter('leaving');
     for (;;) {
       const nowMs = clock.monotonicMs();
@@ -72,15 +74,15 @@
         noticeEndsAtMs,
         lastArrivalAtMs,
         openWork: openWork(),
-        holds: heldBy(),
+        holds: activeHolds(),
       });
       if (step.kind === 'done') break;
       enter(step.phase);
-      if (nowMs >= sayAtMs) {
-        sayAtMs = nowMs + SAY_EVERY_MS;
-        logger.event(DRAINING_EVENTS.waiting, { ...openWork(), holds: heldBy() });
+      if (nowMs >= nextLogAtMs) {
+        nextLogAtMs = nowMs + WAITING_LOG_INTERVAL_MS;
+        logger.event(DRAINING_EVENTS.waiting, { ...openWork(), holds: activeHolds() });
       }
-      await sleepUntil(clock, nowMs + LOOK_EVERY_MS);
+      await sleepUntil(clock, nowMs + POLL_INTERVAL_MS);
     }
     enter('refusing');
     logger.event(DRAINING_EVENTS.drained, { servedWhileLeaving, refused });
@@ -95,16 +97,16 @@
     },
     begin(origin) {
       let open = true;
-      count(origin, 1);
+      adjustOpenRequests(origin, 1);
       if (phase === 'leaving') servedWhileLeaving += 1;
       return {
         [Symbol.dispose]() {
-          if (open) count(origin, -1);
+          if (open) adjustOpenRequests(origin, -1);
           open = false;
         },
       };
     },
-    noteRefused() {
+    recordRefusal() {
       refused += 1;
     },
     addHold(hold) {
--- a/src/core/draining/decide-drain.ts
+++ b/src/core/draining/decide-drain.ts
@@ -1,47 +1,50 @@
 import type { DrainPhase, OpenWork } from './types';
 
-/** Everything that the next step of a planned stop rests on. */
+/** State from which the next step of a planned stop is decided. */
 export interface DrainState {
   readonly nowMs: number;
-  /** When everybody who chooses instances has heard of the stop. */
+  /** End of the notice, by which callers and peers that choose instances should know of the stop. */
   readonly noticeEndsAtMs: number;
-  /** When the last request of any kind came in; undefined when none has since the start. */
+  /** When the last request of any kind arrived; undefined when none has since the start. */
   readonly lastArrivalAtMs: number | undefined;
   readonly openWork: OpenWork;
-  /** Names of what else holds the instance. */
+  /** Names of the active holds, which delay the end of the instance. */
   readonly holds: readonly string[];
 }
 
 /**
- * Time without any request before the listener closes: several times the pause of a caller between an answer
- * and its next request on the same connection. A request that crosses the closing of its connection is reset,
- * and its caller can't know whether it ran.
+ * Minimum time without any request before the listener closes, ms: several times the pause of a caller between an
+ * answer and its next request on the same connection. A request that arrives while its connection is being closed is
+ * reset, and its caller cannot know whether it ran.
  */
-export const QUIET_MS = 500;
+export const MIN_QUIET_MS = 500;
 
-/** Longest wait for that quiet after the notice: a caller that never follows `/v1/entry` holds nobody for ever. */
-export const LONGEST_QUIET_WAIT_MS = 10_000;
+/**
+ * Maximum wait for `MIN_QUIET_MS` without requests after the notice, ms. Without it a caller that ignores
+ * `/v1/entry` and keeps sending requests to this instance would delay the stop for ever.
+ */
+export const MAX_QUIET_WAIT_MS = 10_000;
 
-/** The next step of a planned stop. */
+/** Next step of a planned stop: stay in a phase, or end. */
 export type DrainStep =
   | { readonly kind: 'stay'; readonly phase: Exclude<DrainPhase, 'serving'> }
   | { readonly kind: 'done' };
 
 /**
- * Decides how far a planned stop has come.
+ * Decides the next step of a planned stop.
  *
- * Answers steady load on an instance that is being replaced. A refusal from the first moment meets every
- * caller and peer that has not heard yet, all through a rolling replacement; closing the listener at once
- * resets requests that are on their way, and their callers cannot know whether they ran. So the instance first
- * serves on while its leaving spreads, then refuses with a plain "not run", and goes only when nothing is open.
+ * Under steady load, refusing requests from the first moment would turn away every caller and peer that does not know
+ * of the stop yet, and this throughout a rolling replacement. Closing the listener at once would reset requests in
+ * transit, and their callers could not know whether they ran. So the instance first keeps serving while its stop is
+ * announced, then refuses with the outcome `notRun`, and ends only when no work is open.
  */
 export function decideDrain(state: DrainState): DrainStep {
   const { nowMs, noticeEndsAtMs, lastArrivalAtMs, openWork, holds } = state;
   if (nowMs < noticeEndsAtMs) return { kind: 'stay', phase: 'leaving' };
   const isOpen = openWork.callerRequests > 0 || openWork.peerRequests > 0;
   if (isOpen || holds.length > 0) return { kind: 'stay', phase: 'refusing' };
-  const isQuiet = lastArrivalAtMs === undefined || nowMs - lastArrivalAtMs >= QUIET_MS;
-  const waitsOn = nowMs < noticeEndsAtMs + LONGEST_QUIET_WAIT_MS;
-  if (!isQuiet && waitsOn) return { kind: 'stay', phase: 'refusing' };
+  const isQuiet = lastArrivalAtMs === undefined || nowMs - lastArrivalAtMs >= MIN_QUIET_MS;
+  const mayKeepWaiting = nowMs < noticeEndsAtMs + MAX_QUIET_WAIT_MS;
+  if (!isQuiet && mayKeepWaiting) return { kind: 'stay', phase: 'refusing' };
   return { kind: 'done' };
 }
--- a/src/core/draining/draining.test.ts
+++ b/src/core/draining/draining.test.ts
@@ -6,48 +6,57 @@
 import type { DrainStep } from './decide-drain';
 import { DRAINING_EVENTS } from './events';
 
-const nothing = { callerRequests: 0, peerRequests: 0 };
+const noOpenWork = { callerRequests: 0, peerRequests: 0 };
 
 describe('the steps of a planned stop', () => {
   const cases: readonly {
     readonly name: string;
     readonly nowMs: number;
-    readonly openWork?: Partial<typeof nothing>;
+    readonly openWork?: Partial<typeof noOpenWork>;
     readonly holds?: readonly string[];
     readonly lastArrivalAtMs?: number;
     readonly expected: DrainStep;
   }[] = [
-    { name: 'while it is told', nowMs: 2_999, expected: { kind: 'stay', phase: 'leaving' } },
-    { name: 'told, nothing open', nowMs: 3_000, expected: { kind: 'done' } },
     {
-      name: 'told, a caller waits',
+      name: 'during the notice',
+      nowMs: 2_999,
+      expected: { kind: 'stay', phase: 'leaving' },
+    },
+    { name: 'after the notice, no open work', nowMs: 3_000, expected: { kind: 'done' } },
+    {
+      name: 'after the notice, a request from a caller is open',
       nowMs: 3_000,
       openWork: { callerRequests: 1 },
       expected: { kind: 'stay', phase: 'refusing' },
     },
     {
-      // A peer's caller sits in another region and would lose its answer like one of this instance's own.
-      name: 'told, a peer waits',
+      // The caller behind a peer, in another region, would lose its answer just as a caller of this instance would.
+      name: 'after the notice, a request from a peer is open',
       nowMs: 600_000,
       openWork: { peerRequests: 1 },
       expected: { kind: 'stay', phase: 'refusing' },
     },
     {
-      name: 'told, something promised',
+      name: 'after the notice, a hold is active',
       nowMs: 3_000,
       holds: ['tickets'],
       expected: { kind: 'stay', phase: 'refusing' },
     },
     {
-      // A caller sends its next request on its kept connection just as that is closed: the request is reset.
-      name: 'told, a request came a moment ago',
+      // A request that a caller sends on a kept connection while the connection is being closed is reset.
+      name: 'after the notice, a request arrived a moment ago',
       nowMs: 3_100,
       lastArrivalAtMs: 2_800,
       expected: { kind: 'stay', phase: 'refusing' },
     },
-    { name: 'told, quiet', nowMs: 3_300, lastArrivalAtMs: 2_800, expected: { kind: 'done' } },
     {
-      name: 'told long ago, a caller comes again and again',
+      name: 'after the notice, no recent request',
+      nowMs: 3_300,
+      lastArrivalAtMs: 2_800,
+      expected: { kind: 'done' },
+    },
+    {
+      name: 'long after the notice, a caller keeps sending requests',
       nowMs: 13_000,
       lastArrivalAtMs: 12_990,
       expected: { kind: 'done' },
@@ -59,7 +68,7 @@
         nowMs,
         noticeEndsAtMs: 3_000,
         lastArrivalAtMs,
-        openWork: { ...nothing, ...openWork },
+        openWork: { ...noOpenWork, ...openWork },
         holds: holds ?? [],
       });
       assert.deepEqual(step, expected);
@@ -68,7 +77,7 @@
 });
 
 describe('a planned stop', () => {
-  it('waits for open work and holds, and counts what came after it began', async () => {
+  it('waits for open work and holds, and counts the requests served and refused since it began', async () => {
     const clock = createFakeClock();
     const logger = createMemoryLogger();
     const draining = createDraining({ clock, logger, noticeMs: 1_000 });
@@ -83,7 +92,7 @@
     const late = draining.begin('caller');
     await clock.advanceByAsync(20_000);
     assert.equal(draining.phase(), 'refusing');
-    draining.noteRefused();
+    draining.recordRefusal();
     late[Symbol.dispose]();
     early[Symbol.dispose]();
     early[Symbol.dispose]();
@@ -92,7 +101,7 @@
     isHeld = false;
     await clock.advanceByAsync(1_000);
     assert.equal(isDone, true);
-    assert.deepEqual(draining.openWork(), nothing);
+    assert.deepEqual(draining.openWork(), noOpenWork);
     const [line] = logger.of(DRAINING_EVENTS.drained);
     assert.deepEqual(line?.fields, { servedWhileLeaving: 1, refused: 1 });
   });
--- a/src/core/draining/events.ts
+++ b/src/core/draining/events.ts
@@ -6,7 +6,7 @@
     id: 3200,
     name: 'instance-refusing',
     level: 'info',
-    text: 'The stop has been told; new requests are refused as not run, open ones are finished.',
+    text: 'The stop has been announced; new requests are refused as not run, open ones are finished.',
     action: 'None.',
   },
   waiting: {
@@ -15,13 +15,13 @@
     level: 'info',
     text: 'The instance still has open work and waits for it.',
     action:
-      'None; long answers take their time. A second signal ends the instance and cuts what is named here.',
+      'None; long answers may take a while. A second signal ends the instance and cuts the open work listed here.',
   },
   drained: {
     id: 3202,
     name: 'instance-drained',
     level: 'info',
-    text: 'Nothing is open any more.',
-    action: 'None; the counts say what was served and refused after the stop began.',
+    text: 'No work is open any more.',
+    action: 'None; the counts show the requests served and refused after the stop began.',
   },
 } as const satisfies Record<string, EventDefinition>;
--- a/src/core/draining/gate-serving.ts
+++ b/src/core/draining/gate-serving.ts
@@ -2,7 +2,7 @@
 import type { Serving } from '../serving';
 import type { Draining } from './create-draining';
 
-/** Serving that counts what is open, so that a planned stop waits for it. */
+/** Wraps `serving` to count open requests, so that a planned stop waits for them. */
 export function countServing(serving: Serving, draining: Draining): Serving {
   return {
     async serve(request, sink, signal) {
@@ -18,9 +18,9 @@
 }
 
 /**
- * Serving behind the planned stop: counts what is open, and refuses what comes after the stop was told.
+ * Wraps `serving` to count open requests, and to refuse new ones after the notice of a planned stop.
  *
- * The refusal is a true "not run": nothing of the request has been passed on, so its caller or the peer that
+ * The refusal has the outcome `notRun`: no part of the request has been passed on, so its caller or the peer that
  * forwarded it may send it elsewhere at once.
  */
 export function gateServing(serving: Serving, draining: Draining): Serving {
@@ -32,7 +32,7 @@
         return;
       }
       draining.noteArrival();
-      draining.noteRefused();
+      draining.recordRefusal();
       throw new RefusalError(REFUSALS.notReady, {
         detail: 'This instance is stopping.',
         step: 'drain',
--- a/src/core/draining/index.ts
+++ b/src/core/draining/index.ts
@@ -1,4 +1,4 @@
-/** The planned stop of an instance: told first, then nothing new, and gone when nothing is open. */
+/** Planned stop of an instance: it is announced, then new requests are refused, and it ends when no work is open. */
 export { createDraining } from './create-draining';
 export type { Draining } from './create-draining';
 export { DRAINING_EVENTS } from './events';
--- a/src/core/draining/types.ts
+++ b/src/core/draining/types.ts
@@ -1,16 +1,17 @@
 /**
- * How an instance stands towards new work: `serving` as usual; `leaving`, when its stop is being told and it
- * still serves whoever has not heard; `refusing`, when it finishes what it has.
+ * Phase of the planned stop of an instance: `serving` before the stop; `leaving` during the notice, while the
+ * stop is announced and new requests are still served; `refusing` when new requests are refused and open ones are
+ * finished.
  */
 export type DrainPhase = 'serving' | 'leaving' | 'refusing';
 
-/** Work open here, by who handed it in. */
+/** Numbers of open requests from callers and from peers. */
 export interface OpenWork {
   readonly callerRequests: number;
   readonly peerRequests: number;
 }
 
-/** Something beside open requests that keeps an instance from going, for example answers still promised. */
+/** Something other than open requests that delays the end of an instance, for example promised answers. */
 export interface DrainHold {
   readonly name: string;
   isHeld(): boolean;
--- a/src/core/server-health/assign-checks.ts
+++ b/src/core/server-health/assign-checks.ts
@@ -1,13 +1,16 @@
 import { rankFor } from '../rendezvous';
 
 /**
- * How many instances of a region check each server: two, so that one that is itself cut off or just being
- * replaced leaves no server unwatched. Every instance checking every server would cost servers times
- * instances, nearly a million checks a second at the size that is planned for.
+ * Number of instances of a region that check each server: two, so that no server goes unchecked while one of them is
+ * cut off or being replaced. If every instance checked every server, the number of checks would be servers times
+ * instances, nearly a million a second at the planned size.
  */
 export const CHECKERS_PER_SERVER = 2;
 
-/** Whether `selfId` is among the instances that do a duty, given the live instances of its region. */
+/**
+ * Returns whether `selfId` is among the `count` instances that perform a duty, for example the checks of one server,
+ * given the live instances of its region.
+ */
 export function isOnDuty(
   duty: string,
   selfId: string,
--- a/src/core/server-health/check-schedule.ts
+++ b/src/core/server-health/check-schedule.ts
@@ -1,40 +1,40 @@
 import type { RandomSource } from '../random';
 import type { CheckedServer } from './types';
 
-/** When which server is checked next. */
+/** Schedule of the health checks. */
 export interface CheckSchedule {
-  /** The servers whose check is due; their next one is set. Those not in `servers` are forgotten. */
+  /** Returns the servers whose check is due and schedules their next one. Drops servers that are not in `servers`. */
   takeDue(
     servers: ReadonlySet<CheckedServer>,
-    isQuestioned: (serverId: string) => boolean,
+    isSuspect: (serverId: string) => boolean,
     nowMs: number,
   ): readonly CheckedServer[];
-  /** Brings the next check of a server forward. */
+  /** Makes the next check of a server due at once. */
   bringForward(serverId: string, nowMs: number): void;
 }
 
-/** A server in question is checked this many times as often, so that doubt is short whichever way it ends. */
-const QUESTIONED_RATE = 4;
+/** Factor by which a suspect server is checked more often, so that it is soon known whether it is down or healthy. */
+const SUSPECT_CHECK_RATE_FACTOR = 4;
 
-/** An empty schedule. */
+/** Creates an empty schedule. */
 export function createCheckSchedule(random: RandomSource): CheckSchedule {
   const nextAtMs = new Map<string, number>();
 
-  const forgetOthers = (servers: ReadonlySet<CheckedServer>) => {
+  const removeOthers = (servers: ReadonlySet<CheckedServer>) => {
     const ids = new Set([...servers].map(({ serverId }) => serverId));
     for (const serverId of nextAtMs.keys()) if (!ids.has(serverId)) nextAtMs.delete(serverId);
   };
 
   return {
-    takeDue(servers, isQuestioned, nowMs) {
-      forgetOthers(servers);
+    takeDue(servers, isSuspect, nowMs) {
+      removeOthers(servers);
       return [...servers].filter(({ serverId, rules }) => {
-        // The first check falls at a random point, so that the checks of many servers do not come together.
+        // The first check falls at a random point of the interval, so that checks of many servers do not coincide.
         const dueAtMs = nextAtMs.get(serverId) ?? nowMs + random.next() * rules.intervalMs;
         nextAtMs.set(serverId, dueAtMs);
         if (dueAtMs > nowMs) return false;
-        const rate = isQuestioned(serverId) ? QUESTIONED_RATE : 1;
-        nextAtMs.set(serverId, nowMs + rules.intervalMs / rate);
+        const rateFactor = isSuspect(serverId) ? SUSPECT_CHECK_RATE_FACTOR : 1;
+        nextAtMs.set(serverId, nowMs + rules.intervalMs / rateFactor);
         return true;
       });
     },
--- a/src/core/server-health/choose-usable.ts
+++ b/src/core/server-health/choose-usable.ts
@@ -1,9 +1,9 @@
 import type { RandomSource } from '../random';
 
 /**
- * Keeps the servers that a request may be offered to, those in their slow start only for their share of
- * requests. When all that are usable are in their slow start (a region that has just come back whole) they
- * are all kept, since holding work back from every one of them would only refuse it.
+ * Returns the servers that a request may be sent to. Servers in their slow start are included only for their share
+ * of requests. When all usable servers are in their slow start (for example in a region that has just recovered) and
+ * none would be included, all of them are returned, since leaving out every one would only refuse the request.
  */
 export function chooseUsable<Server>(
   servers: readonly Server[],
@@ -19,12 +19,12 @@
 }
 
 /**
- * Whether an instance may tell its peers that a server is down. Were one that has lost its own network to tell
- * it of every server that it checks, its whole region would stop using healthy servers on the word of one. So
- * it waits until a check of another server has come out well since the failure, which shows that its own
- * network works. An instance that checks one server alone can have no such proof, and tells.
+ * Returns whether an instance may report to its peers that a server is down. An instance that has lost its own
+ * network would otherwise report every server that it checks, and its whole region would stop using healthy servers.
+ * So it waits until a check of another server has succeeded since the failure, which shows that its own network
+ * works. An instance that checks only one server can have no such proof and reports at once.
  */
-export function mayTellDown(
+export function mayReportDown(
   failedAtMs: number,
   lastGoodCheckAtMs: number | undefined,
   checkedCount: number,
--- a/src/core/server-health/classify-answer.ts
+++ b/src/core/server-health/classify-answer.ts
@@ -1,25 +1,25 @@
 import type { ServerObservation } from './types';
 
-/** Header by which a server says, on any answer, that it takes no new work: `x-server-state: draining`. */
+/** Header on any answer of a server; `x-server-state: draining` reports that it accepts no new work. */
 export const STATE_HEADER = 'x-server-state';
-/** Header by which a server may tell one start of itself from another; any text that changes with each start. */
+/** Optional header with the incarnation of a server: any text that changes with each start. */
 export const INCARNATION_HEADER = 'x-server-incarnation';
 
-/** Status by which a health check says the same as the header does. */
-const TAKES_NO_WORK_STATUS = 503;
+/** Status of a health check that means the same as `x-server-state: draining`. */
+const DRAINING_STATUS = 503;
 
-/** Headers as undici has them. */
+/** Headers in the form that undici returns. */
 export type AnswerHeaders = Readonly<Record<string, string | string[] | undefined>>;
 
-function textOf(headers: AnswerHeaders, name: string): string | undefined {
+function firstHeaderValue(headers: AnswerHeaders, name: string): string | undefined {
   const value = headers[name];
   return Array.isArray(value) ? value[0] : value;
 }
 
-/** What the answer to a health check says. Any answer below 500 shows a process that serves. */
+/** Classifies the answer to a health check. Any status below 500 shows that the process serves requests. */
 export function classifyHealthAnswer(status: number, headers: AnswerHeaders): ServerObservation {
-  const incarnation = textOf(headers, INCARNATION_HEADER);
-  if (status === TAKES_NO_WORK_STATUS || textOf(headers, STATE_HEADER) === 'draining') {
+  const incarnation = firstHeaderValue(headers, INCARNATION_HEADER);
+  if (status === DRAINING_STATUS || firstHeaderValue(headers, STATE_HEADER) === 'draining') {
     return { kind: 'draining', incarnation };
   }
   if (status >= 500) return { kind: 'failed', reason: `status ${status}` };
--- a/src/core/server-health/create-server-health.ts
+++ b/src/core/server-health/create-server-health.ts
@@ -11,22 +11,28 @@
 import { createDutyRoster } from './duty-roster';
 import { SERVER_HEALTH_EVENTS } from './events';
 import { createStatementPublisher } from './statement-publisher';
-import { fromEntry, markKey } from './marks';
+import { parseStatement, statementKey } from './marks';
 import type { ServerProbe } from './probe-server';
 import { createHealthTable } from './health-table';
 import type { CheckedServer, ListStatus, ServerObservation, HealthState } from './types';
 
-/** Which backend servers may be given work, as routing sees it. */
+/** Availability of the backend servers, as used by routing. */
 export interface ServerAvailability {
-  /** Those of `servers` that a new request may be offered to; one in its slow start is there now and then. */
+  /**
+   * Returns those of `servers` that a new request may be sent to. A server in its slow start is included at random, in
+   * proportion to its share.
+   */
   usable(servers: readonly BackendServer[]): readonly BackendServer[];
-  /** Whether a server still takes new work; asked again for work that waited. */
+  /** Whether a server may be sent new work. Work that was queued for it checks this again before it is sent. */
   takesNewWork(serverId: string): boolean;
-  /** As `takesNewWork`, but true only now and then for a server in its slow start: for a first choice. */
+  /**
+   * Like `takesNewWork`, but for a server in its slow start true only at random, in proportion to its share. Used for
+   * the preferred servers of a request.
+   */
   isOffered(serverId: string): boolean;
 }
 
-/** What health is built from. */
+/** Options of `createServerHealth`. */
 export interface ServerHealthOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
@@ -38,25 +44,28 @@
   readonly probe: ServerProbe;
 }
 
-/** Health of the backend servers of this region, with its tasks. */
+/** Health of the backend servers of this region, and the background tasks that keep it up to date. */
 export interface ServerHealth extends ServerAvailability, AsyncDisposable {
   start(): void;
-  /** Takes in what a request met at a server; a failure brings its next check forward. */
+  /** Records what a request observed at a server; a failure starts a check at once. */
   noteRequest(serverId: string, observation: ServerObservation): void;
-  noteList(serverId: string, status: ListStatus): void;
-  /** Servers of this region. */
+  recordListStatus(serverId: string, status: ListStatus): void;
+  /** Returns the servers of this region. */
   servers(): readonly CheckedServer[];
   healthState(serverId: string): HealthState;
-  /** Calls back whenever a server's health state changes, for whoever holds work queued for it. */
+  /** Calls `listener` whenever the health state of a server changes, for code that holds queued work for it. */
   onChange(listener: (serverId: string, healthState: HealthState) => void): Disposable;
-  /** Whether this instance is one of the `count` (two) that do `duty` for the region. */
+  /** Whether this instance is one of the `count` (default two) that perform `duty` for the region. */
   isOnDuty(duty: string, count?: number): boolean;
 }
 
-/** How often it is looked which checks are due: a tenth of the time in which a leaving server must be out. */
-const TICK_MS = 200;
+/**
+ * Interval at which due checks are started, ms: a tenth of the time within which a leaving server must stop getting
+ * new work.
+ */
+const TICK_INTERVAL_MS = 200;
 
-/** The servers of `region` as they are checked. */
+/** Returns the servers of `region` with the settings of their checks. */
 function checkedServers(
   configuration: CompiledConfiguration,
   region: string,
@@ -72,21 +81,21 @@
     });
 }
 
-const STANDING_EVENTS = {
+const HEALTH_STATE_EVENTS = {
   usable: SERVER_HEALTH_EVENTS.serverUsable,
   draining: SERVER_HEALTH_EVENTS.serverDraining,
   down: SERVER_HEALTH_EVENTS.serverDown,
 } as const;
 
 function logChange(logger: Logger, server: CheckedServer, healthState: HealthState): void {
-  logger.event(STANDING_EVENTS[healthState.kind], {
+  logger.event(HEALTH_STATE_EVENTS[healthState.kind], {
     server: server.serverId,
     address: server.address,
     cause: healthState.kind === 'usable' ? undefined : healthState.cause,
   });
 }
 
-/** Health of the servers of one region as one instance knows it. */
+/** Creates the health tracking of the backend servers of one region by this instance. */
 export function createServerHealth(options: ServerHealthOptions): ServerHealth {
   const { clock, random, logger, region, configuration, membership, gossip, probe } = options;
   const stopping = new AbortController();
@@ -109,8 +118,8 @@
     checkedCount: () => roster.servers().length,
   });
 
-  /** Brings the check of another server forward, whose good answer would show that this instance has a network. */
-  const seekProof = (downServer: CheckedServer) => {
+  /** Brings forward the check of another server: its success would prove that this instance has a network. */
+  const bringForwardOtherCheck = (downServer: CheckedServer) => {
     const others = roster
       .servers()
       .filter(
@@ -122,7 +131,7 @@
 
   const observe = (server: CheckedServer, observation: ServerObservation) => {
     table.observe(server.serverId, observation, clock.monotonicMs());
-    if (publisher.noteCheck(server, observation)) seekProof(server);
+    if (publisher.recordCheck(server, observation)) bringForwardOtherCheck(server);
     publisher.publish(server);
   };
 
@@ -140,54 +149,56 @@
     void task.finally(() => tasks.delete(task));
   };
 
-  /** A server that is in question is checked by whoever questions it, on duty or not. */
+  /** Starts the due checks. An instance also checks servers that it suspects itself, even when not on duty for them. */
   const startDueChecks = () => {
-    const questioned = table.concerned().filter(({ serverId }) => table.isQuestioned(serverId));
-    const toCheck = new Set([...roster.servers(), ...questioned]);
-    schedule.takeDue(toCheck, table.isQuestioned, clock.monotonicMs()).forEach(startCheck);
+    const suspects = table
+      .serversNeedingAttention()
+      .filter(({ serverId }) => table.isSuspect(serverId));
+    const toCheck = new Set([...roster.servers(), ...suspects]);
+    schedule.takeDue(toCheck, table.isSuspect, clock.monotonicMs()).forEach(startCheck);
   };
 
   const run = async (): Promise<void> => {
     while (!stopping.signal.aborted) {
       table.refresh(clock.monotonicMs());
       startDueChecks();
-      table.concerned().forEach(publisher.publish);
-      await sleepUntil(clock, clock.monotonicMs() + TICK_MS, stopping.signal);
+      table.serversNeedingAttention().forEach(publisher.publish);
+      await sleepUntil(clock, clock.monotonicMs() + TICK_INTERVAL_MS, stopping.signal);
     }
   };
 
-  const takeIn = (entry: GossipEntry) => {
+  const receiveStatement = (entry: GossipEntry) => {
     const server = table
       .servers()
-      .find(({ serverId, address }) => markKey(serverId, address) === entry.key);
+      .find(({ serverId, address }) => statementKey(serverId, address) === entry.key);
     if (server === undefined) return;
-    const mark = fromEntry(entry);
-    if (mark === undefined) {
+    const statement = parseStatement(entry);
+    if (statement === undefined) {
       logger.event(SERVER_HEALTH_EVENTS.markRejected, { peer: entry.origin, key: entry.key });
       return;
     }
     const nowMs = clock.monotonicMs();
     const expiresAtMs = nowMs + entry.expiresAtUnixMs - clock.unixMs();
-    const received = { ...mark, origin: entry.origin, receivedAtMs: nowMs, expiresAtMs };
-    table.noteMark(server.serverId, received, nowMs);
+    const received = { ...statement, origin: entry.origin, receivedAtMs: nowMs, expiresAtMs };
+    table.recordPeerStatement(server.serverId, received, nowMs);
   };
 
   const replaceServers = (next: CompiledConfiguration) => {
     table.replaceServers(checkedServers(next, region), clock.monotonicMs());
     roster.reset();
-    // The board holds this instance's own statements too; what it knows itself needs no statement.
+    // The board also holds this instance's own statements, which must not count as those of a peer.
     gossip
       .entries('serverMarks')
       .filter(({ origin }) => origin !== membership.self().instanceId)
-      .forEach(takeIn);
+      .forEach(receiveStatement);
   };
 
   const subscriptions = [
     configuration.onChange(replaceServers),
-    gossip.onEntry('serverMarks', takeIn),
+    gossip.onEntry('serverMarks', receiveStatement),
   ];
-  const first = configuration.current();
-  if (first !== undefined) replaceServers(first);
+  const initialConfiguration = configuration.current();
+  if (initialConfiguration !== undefined) replaceServers(initialConfiguration);
 
   const shareOf = (serverId: string) => table.share(serverId, clock.monotonicMs());
 
@@ -206,21 +217,21 @@
       if (server === undefined) return;
       switch (observation.kind) {
         case 'healthy':
-          table.noteAnswer(serverId, clock.monotonicMs());
+          table.recordAnswer(serverId, clock.monotonicMs());
           return;
         case 'draining':
           observe(server, observation);
           return;
         case 'failed':
-          // One lost request proves little; a check by whoever met it, right away, proves more.
+          // One failed request is weak evidence; an immediate check by the same instance is stronger.
           startCheck(server);
           return;
         default:
           observation satisfies never;
       }
     },
-    noteList(serverId, status) {
-      table.noteList(serverId, status, clock.monotonicMs());
+    recordListStatus(serverId, status) {
+      table.recordListStatus(serverId, status, clock.monotonicMs());
       const server = table.server(serverId);
       if (server !== undefined) publisher.publish(server);
     },
--- a/src/core/server-health/duty-roster.ts
+++ b/src/core/server-health/duty-roster.ts
@@ -2,23 +2,29 @@
 import { isOnDuty } from './assign-checks';
 import type { CheckedServer } from './types';
 
-/** Which duties of a region fall to this instance, by the live instances that it knows. */
+/**
+ * Decides which duties of a region (health checks of servers, watches of server lists) this instance performs, given
+ * the live instances that it knows of.
+ */
 export interface DutyRoster {
-  /** Whether this instance is one of the `count` (two) that do a duty. */
+  /** Whether this instance is one of the `count` (default two) that perform a duty. */
   isOnDuty(duty: string, count?: number): boolean;
-  /** Servers that this instance checks. */
+  /** Returns the servers that this instance checks. */
   servers(): readonly CheckedServer[];
-  /** Forgets what was worked out, when the servers of the region have changed. */
+  /** Clears the cached servers, after the servers of the region have changed. */
   reset(): void;
 }
 
-/** A roster over the servers that `allServers` gives; worked out anew only when instances or servers change. */
+/**
+ * Creates a roster over the servers that `allServers` returns. It is computed again only when instances or servers
+ * change.
+ */
 export function createDutyRoster(
   membership: MembershipView,
   region: string,
   allServers: () => readonly CheckedServer[],
 ): DutyRoster {
-  let known: { readonly peers: string; readonly servers: readonly CheckedServer[] } | undefined;
+  let cached: { readonly peers: string; readonly servers: readonly CheckedServer[] } | undefined;
 
   const livePeerIds = (): readonly string[] =>
     membership
@@ -32,14 +38,14 @@
     servers() {
       const peerIds = livePeerIds();
       const peers = peerIds.join(' ');
-      if (known?.peers === peers) return known.servers;
+      if (cached?.peers === peers) return cached.servers;
       const selfId = membership.self().instanceId;
       const servers = allServers().filter(({ serverId }) => isOnDuty(serverId, selfId, peerIds));
-      known = { peers, servers };
+      cached = { peers, servers };
       return servers;
     },
     reset() {
-      known = undefined;
+      cached = undefined;
     },
   };
 }
--- a/src/core/server-health/events.ts
+++ b/src/core/server-health/events.ts
@@ -1,48 +1,48 @@
 import type { EventDefinition } from '../events';
 
-/** Events 3100 to 3199: backend servers that come and go. */
+/** Events 3100 to 3199: health of the backend servers. */
 export const SERVER_HEALTH_EVENTS = {
   serverUsable: {
     id: 3100,
     name: 'server-usable',
     level: 'info',
-    text: 'A backend server takes new work again, little at first.',
+    text: 'A backend server accepts new work again; its share of requests rises gradually.',
     action: 'None.',
   },
   serverDraining: {
     id: 3101,
     name: 'server-draining',
     level: 'info',
-    text: 'A backend server is leaving: it gets no new work and finishes what it has.',
-    action: 'None when the stop was planned; the cause says who told it.',
+    text: 'A backend server is leaving: it gets no new work and finishes its open requests.',
+    action: 'None when the stop was planned; the cause names the source.',
   },
   serverDown: {
     id: 3102,
     name: 'server-down',
     level: 'warn',
     text: 'A backend server fails its health checks and gets no new work.',
-    action: 'Look at the server; it is taken back by itself once its checks pass.',
+    action: 'Inspect the server; it gets work again without intervention once its checks pass.',
   },
   checksDoubted: {
     id: 3103,
     name: 'checks-doubted',
     level: 'warn',
-    text: 'No server that this instance checks answers; it does not tell its peers that they are down.',
+    text: 'No server that this instance checks answers; it does not report them to its peers as down.',
     action:
-      'Look at the network of this instance first, and at the servers only if others report them too.',
+      'Check the network of this instance first, and the servers only if other instances report them too.',
   },
   listUnavailable: {
     id: 3104,
     name: 'server-list-unavailable',
     level: 'warn',
-    text: 'The platform’s list of backend servers did not answer; health checks go on.',
-    action: 'Look at the platform’s catalogue; leaving servers are still noticed by checks.',
+    text: 'The platform’s list of backend servers could not be read; health checks continue.',
+    action: 'Check the platform’s catalogue; leaving servers are still detected by checks.',
   },
   markRejected: {
     id: 3105,
     name: 'server-mark-rejected',
     level: 'warn',
-    text: 'A peer’s statement about a server could not be read.',
-    action: 'Look whether instances of very different releases run side by side.',
+    text: 'The statement of a peer about a server could not be parsed.',
+    action: 'Check whether instances of very different releases run side by side.',
   },
 } as const satisfies Record<string, EventDefinition>;
--- a/src/core/server-health/health-table.test.ts
+++ b/src/core/server-health/health-table.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { createHealthTable } from './health-table';
-import { SLOW_START_LEAST_SHARE } from './slow-start';
+import { SLOW_START_MIN_SHARE } from './slow-start';
 import type { CheckedServer, ServerObservation } from './types';
 
 const server = (serverId: string, address = '10.0.0.1:80'): CheckedServer => ({
@@ -35,12 +35,12 @@
 
 const cases: readonly Case[] = [
   {
-    name: 'goes down at the second failure and comes back slowly after two good checks',
+    name: 'goes down at the second failure and has a slow start after two good checks',
     steps: [
       { atMs: 1_000, observation: failed, share: 1 },
       { atMs: 2_000, observation: failed, share: 0 },
       { atMs: 3_000, observation: healthy(), share: 0 },
-      { atMs: 4_000, observation: healthy(), share: SLOW_START_LEAST_SHARE },
+      { atMs: 4_000, observation: healthy(), share: SLOW_START_MIN_SHARE },
       { atMs: 9_000, observation: healthy(), share: 0.5 },
       { atMs: 20_000, observation: healthy(), share: 1 },
     ],
@@ -54,17 +54,17 @@
     ],
   },
   {
-    // A server's word is no symptom to be confirmed: waiting for a second answer gives it work for nothing.
-    name: 'stops at the first word of the server itself',
+    // A server's own report needs no confirmation: waiting for a second answer would only send it more work.
+    name: 'gets no work from its own first report of draining on',
     steps: [{ atMs: 1_000, observation: draining(), share: 0 }],
   },
   {
-    // The new process answers the first check as if nothing had been, but its cache is empty.
-    name: 'starts slowly when another start answers under the same address',
+    // The new process answers its first check like the old one, but its cache is empty.
+    name: 'has a slow start when another incarnation answers under the same address',
     steps: [
       { atMs: 1_000, observation: healthy('start-1'), share: 1 },
       { atMs: 2_000, observation: draining('start-1'), share: 0 },
-      { atMs: 3_000, observation: healthy('start-2'), share: SLOW_START_LEAST_SHARE },
+      { atMs: 3_000, observation: healthy('start-2'), share: SLOW_START_MIN_SHARE },
       { atMs: 8_000, observation: healthy('start-2'), share: 0.5 },
     ],
   },
@@ -82,7 +82,7 @@
     });
   }
 
-  it('starts a server slowly that a later configuration adds or moves, and no other', () => {
+  it('gives a slow start only to a server that a later configuration adds or moves', () => {
     const table = createHealthTable(() => {});
     table.replaceServers([server('engine-1'), server('engine-2')], 0);
     table.replaceServers(
@@ -90,10 +90,10 @@
       5_000,
     );
     const shares = ['engine-1', 'engine-2', 'engine-3'].map((id) => table.share(id, 5_000));
-    assert.deepEqual(shares, [1, SLOW_START_LEAST_SHARE, SLOW_START_LEAST_SHARE]);
+    assert.deepEqual(shares, [1, SLOW_START_MIN_SHARE, SLOW_START_MIN_SHARE]);
   });
 
-  it('tells each change of healthState once', () => {
+  it('reports each change of health state once', () => {
     const changes: string[] = [];
     const table = createHealthTable(({ serverId }, { kind }) =>
       changes.push(`${serverId} ${kind}`),
@@ -104,13 +104,13 @@
     assert.deepEqual(changes, ['engine-1 down', 'engine-1 usable']);
   });
 
-  it('keeps only what is of concern to look after', () => {
+  it('lists only servers with evidence against them as needing attention', () => {
     const table = createHealthTable(() => {});
     table.replaceServers([server('engine-1'), server('engine-2')], 0);
     table.observe('engine-1', healthy(), 1);
     table.observe('engine-2', failed, 1);
     assert.deepEqual(
-      table.concerned().map(({ serverId }) => serverId),
+      table.serversNeedingAttention().map(({ serverId }) => serverId),
       ['engine-2'],
     );
   });
--- a/src/core/server-health/health-table.ts
+++ b/src/core/server-health/health-table.ts
@@ -1,71 +1,77 @@
-import { judgeOwnHealth } from './judge-health';
+import { evaluateOwnHealth } from './judge-health';
 import {
   createRecord,
-  isConcerned,
-  isQuestioned,
-  judged,
+  needsAttention,
+  isSuspect,
+  withHealthState,
   withAnswer,
   withListStatus,
-  withMark,
+  withPeerStatement,
   withObservation,
 } from './server-record';
 import type { ServerRecord } from './server-record';
 import { slowStartShare } from './slow-start';
-import type { CheckedServer, ListStatus, PeerMark, ServerObservation, HealthState } from './types';
+import type {
+  CheckedServer,
+  ListStatus,
+  PeerStatement,
+  ServerObservation,
+  HealthState,
+} from './types';
 
-/** What is known of each server. It holds no timers and no connections: times are handed in. */
+/** Health records of all servers. It has no timers and no connections: the time is passed in. */
 export interface HealthTable {
-  /** Takes over the servers of a configuration; those that stay keep what is known of them. */
+  /** Replaces the servers with those of a configuration. Servers with an unchanged address keep their records. */
   replaceServers(servers: readonly CheckedServer[], nowMs: number): void;
   servers(): readonly CheckedServer[];
   server(serverId: string): CheckedServer | undefined;
-  /** Servers of which anything but good is known; most of the time few, however many servers there are. */
-  concerned(): readonly CheckedServer[];
-  /** Takes in a health check, or what a server says of itself on any answer. */
+  /** Servers with a failure, a statement of a peer or a health state other than usable. */
+  serversNeedingAttention(): readonly CheckedServer[];
+  /** Records the result of a health check, or the state that a server reported on any answer. */
   observe(serverId: string, observation: ServerObservation, nowMs: number): void;
-  /** Takes in that a request had a good answer: no health check, but the server lives. */
-  noteAnswer(serverId: string, nowMs: number): void;
-  noteList(serverId: string, status: ListStatus, nowMs: number): void;
-  noteMark(serverId: string, mark: PeerMark, nowMs: number): void;
-  /** Judges again what only time has changed: statements that have expired. */
+  /** Records a good answer to a request, which is no health check but shows that the server is alive. */
+  recordAnswer(serverId: string, nowMs: number): void;
+  recordListStatus(serverId: string, status: ListStatus, nowMs: number): void;
+  recordPeerStatement(serverId: string, statement: PeerStatement, nowMs: number): void;
+  /** Evaluates health states again where only time has passed: statements may have expired. */
   refresh(nowMs: number): void;
   healthState(serverId: string): HealthState;
-  /** Whether this instance has reason of its own to check the server, beside its duties. */
-  isQuestioned(serverId: string): boolean;
-  /** What this instance vouches for, with the server's start that it holds for. */
+  /** Whether this instance has evidence of its own against the server, and so checks it even when not on duty. */
+  isSuspect(serverId: string): boolean;
+  /** Returns the health state without the statements of peers, which is what this instance reports to them. */
   ownHealth(serverId: string, nowMs: number): OwnHealth;
-  /** Share of its usual work that the server gets: 0 when unusable, less than 1 in its slow start. */
+  /** Returns the share of its usual work that the server gets: 0 when unusable, less than 1 in its slow start. */
   share(serverId: string, nowMs: number): number;
 }
 
-/** A health state with the start of the server for which it holds. */
+/** Health state of a server as this instance itself observed it, and the incarnation to which it applies. */
 export interface OwnHealth {
   readonly healthState: HealthState;
   readonly incarnation: string | undefined;
 }
 
-/** Told each time a server's health state changes. */
+/** Called each time the health state of a server changes. */
 export type HealthListener = (server: CheckedServer, healthState: HealthState) => void;
 
 const USABLE: HealthState = { kind: 'usable' };
 
-/** An empty table; `onChange` hears of each change of health state. */
+/** Creates an empty table that calls `onChange` on each change of a health state. */
 export function createHealthTable(onChange: HealthListener): HealthTable {
   let records = new Map<string, ServerRecord>();
-  const concerned = new Set<string>();
-  let isFirst = true;
+  const attentionIds = new Set<string>();
+  let isFirstConfiguration = true;
 
-  const change = (
+  const update = (
     serverId: string,
     nowMs: number,
-    apply: (entry: ServerRecord) => ServerRecord,
+    apply: (record: ServerRecord) => ServerRecord,
   ): void => {
     const previous = records.get(serverId);
     if (previous === undefined) return;
-    const next = judged(apply(previous), nowMs);
+    const next = withHealthState(apply(previous), nowMs);
     records.set(serverId, next);
-    if (isConcerned(next)) concerned.add(serverId);
-    else concerned.delete(serverId);
+    if (needsAttention(next)) attentionIds.add(serverId);
+    else attentionIds.delete(serverId);
     if (next.healthState.kind !== previous.healthState.kind) {
       onChange(next.server, next.healthState);
     }
@@ -73,51 +79,54 @@
 
   return {
     replaceServers(servers, nowMs) {
-      // An instance that has just started must not treat the whole fleet of servers as cold.
-      const slowStartAtMs = isFirst ? undefined : nowMs;
-      isFirst = false;
+      // The servers of the first configuration are not cold: only this instance has just started.
+      const slowStartAtMs = isFirstConfiguration ? undefined : nowMs;
+      isFirstConfiguration = false;
       records = new Map(
         servers.map((server) => {
-          const known = records.get(server.serverId);
-          const isSame = known?.server.address === server.address;
+          const previous = records.get(server.serverId);
+          const hasSameAddress = previous?.server.address === server.address;
           return [
             server.serverId,
-            isSame ? { ...known, server } : createRecord(server, slowStartAtMs),
+            hasSameAddress ? { ...previous, server } : createRecord(server, slowStartAtMs),
           ];
         }),
       );
-      concerned.clear();
-      for (const [serverId, entry] of records) if (isConcerned(entry)) concerned.add(serverId);
+      attentionIds.clear();
+      for (const [id, record] of records) if (needsAttention(record)) attentionIds.add(id);
     },
-    servers: () => [...records.values()].map((entry) => entry.server),
+    servers: () => [...records.values()].map((record) => record.server),
     server: (serverId) => records.get(serverId)?.server,
-    concerned: () => [...concerned].flatMap((serverId) => records.get(serverId)?.server ?? []),
+    serversNeedingAttention: () =>
+      [...attentionIds].flatMap((serverId) => records.get(serverId)?.server ?? []),
     observe: (serverId, observation, nowMs) =>
-      change(serverId, nowMs, (entry) => withObservation(entry, observation, nowMs)),
-    noteAnswer: (serverId, nowMs) => change(serverId, nowMs, (entry) => withAnswer(entry, nowMs)),
-    noteList: (serverId, status, nowMs) =>
-      change(serverId, nowMs, (entry) => withListStatus(entry, status)),
-    noteMark: (serverId, mark, nowMs) => change(serverId, nowMs, (entry) => withMark(entry, mark)),
+      update(serverId, nowMs, (record) => withObservation(record, observation, nowMs)),
+    recordAnswer: (serverId, nowMs) =>
+      update(serverId, nowMs, (record) => withAnswer(record, nowMs)),
+    recordListStatus: (serverId, status, nowMs) =>
+      update(serverId, nowMs, (record) => withListStatus(record, status)),
+    recordPeerStatement: (serverId, statement, nowMs) =>
+      update(serverId, nowMs, (record) => withPeerStatement(record, statement)),
     refresh(nowMs) {
-      for (const serverId of [...concerned]) change(serverId, nowMs, (entry) => entry);
+      for (const serverId of [...attentionIds]) update(serverId, nowMs, (record) => record);
     },
     healthState: (serverId) => records.get(serverId)?.healthState ?? USABLE,
-    isQuestioned(serverId) {
-      const entry = records.get(serverId);
-      return entry !== undefined && isQuestioned(entry);
+    isSuspect(serverId) {
+      const record = records.get(serverId);
+      return record !== undefined && isSuspect(record);
     },
     ownHealth(serverId, nowMs) {
-      const entry = records.get(serverId);
-      if (entry === undefined) return { healthState: USABLE, incarnation: undefined };
-      const healthState = judgeOwnHealth(entry.evidence, nowMs);
-      return { healthState, incarnation: entry.evidence.incarnation };
+      const record = records.get(serverId);
+      if (record === undefined) return { healthState: USABLE, incarnation: undefined };
+      const healthState = evaluateOwnHealth(record.evidence, nowMs);
+      return { healthState, incarnation: record.evidence.incarnation };
     },
     share(serverId, nowMs) {
-      const entry = records.get(serverId);
-      if (entry === undefined) return 1;
-      if (entry.healthState.kind !== 'usable') return 0;
-      if (entry.slowStartAtMs === undefined) return 1;
-      return slowStartShare(entry.slowStartAtMs, entry.server.rules.slowStartMs, nowMs);
+      const record = records.get(serverId);
+      if (record === undefined) return 1;
+      if (record.healthState.kind !== 'usable') return 0;
+      if (record.slowStartAtMs === undefined) return 1;
+      return slowStartShare(record.slowStartAtMs, record.server.rules.slowStartMs, nowMs);
     },
   };
 }
--- a/src/core/server-health/index.ts
+++ b/src/core/server-health/index.ts
@@ -1,4 +1,4 @@
-/** Which backend servers may be given new work: by what they say themselves, the platform's list, checks and peers. */
+/** Health of the backend servers, from their own reports, the platform's list, health checks and peers. */
 export { createServerHealth } from './create-server-health';
 export type { ServerAvailability, ServerHealth, ServerHealthOptions } from './create-server-health';
 export { INCARNATION_HEADER, STATE_HEADER } from './classify-answer';
--- a/src/core/server-health/judge-health.test.ts
+++ b/src/core/server-health/judge-health.test.ts
@@ -1,21 +1,21 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { failuresNeeded, judgeHealth } from './judge-health';
-import type { PeerMark, ServerEvidence, HealthState } from './types';
+import { failuresNeeded, evaluateHealth } from './judge-health';
+import type { PeerStatement, ServerEvidence, HealthState } from './types';
 
 const NOW_MS = 10_000;
 
-const plain: ServerEvidence = {
+const emptyEvidence: ServerEvidence = {
   incarnation: 'start-2',
-  saysDraining: false,
+  reportsDraining: false,
   failsChecks: false,
   listStatus: 'unknown',
   leavingIncarnation: undefined,
   lastSuccessAtMs: undefined,
-  peerMarks: [],
+  peerStatements: [],
 };
 
-const mark = (change: Partial<PeerMark>): PeerMark => ({
+const peerStatement = (change: Partial<PeerStatement>): PeerStatement => ({
   origin: 'peer-1',
   kind: 'down',
   incarnation: 'start-2',
@@ -30,12 +30,12 @@
   readonly expected: HealthState;
 }
 
-// The list lags and is wrong at times: callers would meet dead servers that it still has, and live ones that
-// it omits would stand idle, were it believed in anything but an intention to leave.
+// The list lags and is sometimes wrong. If anything in it but an intention to leave were trusted, requests would go
+// to dead servers that it still holds, and live servers that it omits would stay idle.
 const cases: readonly Case[] = [
-  { name: 'nothing known', evidence: {}, expected: { kind: 'usable' } },
+  { name: 'no evidence', evidence: {}, expected: { kind: 'usable' } },
   {
-    name: 'on the list but dead',
+    name: 'passing according to the list but failing its checks',
     evidence: { listStatus: 'passing', failsChecks: true },
     expected: { kind: 'down', cause: 'checks' },
   },
@@ -45,12 +45,12 @@
     expected: { kind: 'usable' },
   },
   {
-    name: 'failing by the list but alive',
+    name: 'failing according to the list but alive',
     evidence: { listStatus: 'failing', lastSuccessAtMs: 9_900 },
     expected: { kind: 'usable' },
   },
   {
-    name: 'leaving by the list while its checks are good',
+    name: 'leaving according to the list while its checks succeed',
     evidence: { listStatus: 'leaving', leavingIncarnation: 'start-2', lastSuccessAtMs: 9_900 },
     expected: { kind: 'draining', cause: 'list' },
   },
@@ -60,45 +60,45 @@
     expected: { kind: 'usable' },
   },
   {
-    name: 'leaving, as it says itself',
-    evidence: { saysDraining: true, lastSuccessAtMs: 9_900 },
+    name: 'leaving according to its own report',
+    evidence: { reportsDraining: true, lastSuccessAtMs: 9_900 },
     expected: { kind: 'draining', cause: 'selfReported' },
   },
   {
-    name: 'leaving by a peer',
-    evidence: { peerMarks: [mark({ kind: 'draining' })], lastSuccessAtMs: 9_900 },
+    name: 'leaving according to a peer',
+    evidence: { peerStatements: [peerStatement({ kind: 'draining' })], lastSuccessAtMs: 9_900 },
     expected: { kind: 'draining', cause: 'peer' },
   },
   {
-    name: 'leaving by a peer that spoke of an earlier start',
-    evidence: { peerMarks: [mark({ kind: 'draining', incarnation: 'start-1' })] },
+    name: 'an earlier incarnation was leaving according to a peer',
+    evidence: { peerStatements: [peerStatement({ kind: 'draining', incarnation: 'start-1' })] },
     expected: { kind: 'usable' },
   },
   {
-    name: 'down by a peer',
-    evidence: { peerMarks: [mark({})], lastSuccessAtMs: 8_000 },
+    name: 'down according to a peer',
+    evidence: { peerStatements: [peerStatement({})], lastSuccessAtMs: 8_000 },
     expected: { kind: 'down', cause: 'peer' },
   },
   {
-    name: 'down by a peer, with a good answer here since',
-    evidence: { peerMarks: [mark({})], lastSuccessAtMs: 9_500 },
+    name: 'down according to a peer, with a good answer to this instance since',
+    evidence: { peerStatements: [peerStatement({})], lastSuccessAtMs: 9_500 },
     expected: { kind: 'usable' },
   },
   {
-    name: 'down by a peer whose statement has expired',
-    evidence: { peerMarks: [mark({ expiresAtMs: NOW_MS })] },
+    name: 'down according to a peer whose statement has expired',
+    evidence: { peerStatements: [peerStatement({ expiresAtMs: NOW_MS })] },
     expected: { kind: 'usable' },
   },
 ];
 
-describe('the healthState of a backend server', () => {
+describe('the health state of a backend server', () => {
   for (const { name, evidence, expected } of cases) {
     it(name, () => {
-      assert.deepEqual(judgeHealth({ ...plain, ...evidence }, NOW_MS), expected);
+      assert.deepEqual(evaluateHealth({ ...emptyEvidence, ...evidence }, NOW_MS), expected);
     });
   }
 
-  it('takes one failed check where the list has its doubts too, else as many as configured', () => {
+  it('needs one failed check when the list reports failing, missing or leaving, else the configured number', () => {
     const needed = (['unknown', 'passing', 'failing', 'missing', 'leaving'] as const).map(
       (status) => failuresNeeded(status, 3),
     );
--- a/src/core/server-health/judge-health.ts
+++ b/src/core/server-health/judge-health.ts
@@ -1,32 +1,39 @@
-import type { ListStatus, PeerMark, ServerEvidence, HealthState } from './types';
+import type { ListStatus, PeerStatement, ServerEvidence, HealthState } from './types';
 
 /**
- * Decides whether a server may be given new work, from evidence of unequal worth.
+ * Evaluates whether a server may be sent new work, from sources of unequal reliability.
  *
- * Answers the load pattern of servers that come and go under steady traffic. Believing the list alone sends
- * work to dead servers for as long as it lags and loses live ones that it omits; believing checks alone keeps
- * sending to a server that still answers but will be stopped in a minute, and cuts its streams. So an
- * intention to leave counts from anybody at once, a failure counts only from whoever tried, and absence from
- * the list is no evidence by itself.
+ * Servers come and go under steady traffic. Relying on the list alone would send work to dead servers for as long
+ * as the list lags, and would not use live servers that it omits. Relying on checks alone would send work to a
+ * server that still answers but is stopped a minute later, which cuts its streams. Therefore an intention to leave
+ * counts at once from any source, a failure counts only from an instance that tried the server, and absence from
+ * the list alone is no evidence.
  */
-export function judgeHealth(evidence: ServerEvidence, nowMs: number): HealthState {
-  const marks = evidence.peerMarks.filter((mark) => holds(mark, evidence, nowMs));
-  if (evidence.saysDraining) return { kind: 'draining', cause: 'selfReported' };
+export function evaluateHealth(evidence: ServerEvidence, nowMs: number): HealthState {
+  const valid = evidence.peerStatements.filter((entry) => isStatementValid(entry, evidence, nowMs));
+  if (evidence.reportsDraining) return { kind: 'draining', cause: 'selfReported' };
   if (isLeavingByList(evidence)) return { kind: 'draining', cause: 'list' };
-  if (marks.some((mark) => mark.kind === 'draining')) return { kind: 'draining', cause: 'peer' };
+  if (valid.some((entry) => entry.kind === 'draining')) return { kind: 'draining', cause: 'peer' };
   if (evidence.failsChecks) return { kind: 'down', cause: 'checks' };
-  const isDownByPeer = marks.some(
-    (mark) => mark.kind === 'down' && (evidence.lastSuccessAtMs ?? -Infinity) <= mark.receivedAtMs,
+  const isDownByPeer = valid.some(
+    (entry) =>
+      entry.kind === 'down' && (evidence.lastSuccessAtMs ?? -Infinity) <= entry.receivedAtMs,
   );
   return isDownByPeer ? { kind: 'down', cause: 'peer' } : { kind: 'usable' };
 }
 
-/** What this instance itself can vouch for; told to peers, who must not hear again what they said themselves. */
-export function judgeOwnHealth(evidence: ServerEvidence, nowMs: number): HealthState {
-  return judgeHealth({ ...evidence, peerMarks: [] }, nowMs);
+/**
+ * Evaluates the health of a server without the statements of peers. This is what the instance reports to its peers,
+ * so that their own statements are not sent back to them.
+ */
+export function evaluateOwnHealth(evidence: ServerEvidence, nowMs: number): HealthState {
+  return evaluateHealth({ ...evidence, peerStatements: [] }, nowMs);
 }
 
-/** Failed checks in a row until a server counts as down: one is enough where the list has its doubts too. */
+/**
+ * Returns the number of consecutive failed checks after which a server counts as down: one is enough when the list
+ * shows the server as failing, missing or leaving.
+ */
 export function failuresNeeded(listStatus: ListStatus, configured: number): number {
   switch (listStatus) {
     case 'unknown':
@@ -41,15 +48,19 @@
   }
 }
 
-/** A server that started anew under the same address has nothing to do with what was said of the old one. */
-function isAnotherStart(ofStatement: string | undefined, current: string | undefined): boolean {
+/** Whether a statement is about another incarnation, and so does not apply after a restart under the same address. */
+function isOtherIncarnation(ofStatement: string | undefined, current: string | undefined): boolean {
   return ofStatement !== undefined && current !== undefined && ofStatement !== current;
 }
 
 function isLeavingByList({ listStatus, leavingIncarnation, incarnation }: ServerEvidence): boolean {
-  return listStatus === 'leaving' && !isAnotherStart(leavingIncarnation, incarnation);
+  return listStatus === 'leaving' && !isOtherIncarnation(leavingIncarnation, incarnation);
 }
 
-function holds(mark: PeerMark, { incarnation }: ServerEvidence, nowMs: number): boolean {
-  return mark.expiresAtMs > nowMs && !isAnotherStart(mark.incarnation, incarnation);
+function isStatementValid(
+  statement: PeerStatement,
+  { incarnation }: ServerEvidence,
+  nowMs: number,
+): boolean {
+  return statement.expiresAtMs > nowMs && !isOtherIncarnation(statement.incarnation, incarnation);
 }
--- a/src/core/server-health/marks.ts
+++ b/src/core/server-health/marks.ts
@@ -2,33 +2,36 @@
 import type { GossipEntry, GossipStatement } from '../gossip';
 import type { HealthState } from './types';
 
-/** Statements about servers on their way between the instances of a region. */
+/** Encodes and decodes the statements about servers that the instances of a region exchange by gossip. */
 
-/** How long a statement stands unless it is renewed; a checker that is replaced leaves no stale word behind. */
-export const MARK_TTL_MS = 15_000;
-/** Renewed three times in that span, so that two lost renewals do no harm. */
-export const MARK_RENEWAL_MS = 5_000;
+/** TTL of a statement unless it is renewed, ms. Statements of a checker that has been replaced expire by it. */
+export const STATEMENT_TTL_MS = 15_000;
+/** Interval between renewals, ms: three in a TTL, so that a statement survives two lost renewals. */
+export const STATEMENT_RENEWAL_INTERVAL_MS = 5_000;
 
-const markSchema = z.strictObject({
+const statementSchema = z.strictObject({
   kind: z.enum(['usable', 'draining', 'down']),
   incarnation: z.string().max(64).optional(),
 });
 
-/** One statement. */
-export interface ServerMark {
+/** Statement about the health of one server. */
+export interface ServerStatement {
   readonly kind: HealthState['kind'];
   readonly incarnation: string | undefined;
 }
 
-/** Names the server with its address, since another address is another server. */
-export function markKey(serverId: string, address: string): string {
+/** Returns the gossip key of a server. It holds the address, since another address is another server. */
+export function statementKey(serverId: string, address: string): string {
   return `${serverId}@${address}`;
 }
 
-/** The statement to put on the board; only the server's own region routes to it. */
-export function toStatement(
+/**
+ * Returns the statement as it is put on the gossip board. It goes only to the region of the server, since no other
+ * region routes to it.
+ */
+export function toGossipStatement(
   key: string,
-  mark: ServerMark,
+  statement: ServerStatement,
   region: string,
   nowUnixMs: number,
 ): GossipStatement {
@@ -36,15 +39,15 @@
     topic: 'serverMarks',
     key,
     regions: [region],
-    expiresAtUnixMs: nowUnixMs + MARK_TTL_MS,
-    payload: JSON.stringify(mark),
+    expiresAtUnixMs: nowUnixMs + STATEMENT_TTL_MS,
+    payload: JSON.stringify(statement),
   };
 }
 
-/** Reads a peer's statement; undefined when it is none. */
-export function fromEntry(entry: GossipEntry): ServerMark | undefined {
+/** Parses the statement of a peer; returns undefined when it is malformed. */
+export function parseStatement(entry: GossipEntry): ServerStatement | undefined {
   try {
-    const { kind, incarnation } = markSchema.parse(JSON.parse(entry.payload));
+    const { kind, incarnation } = statementSchema.parse(JSON.parse(entry.payload));
     return { kind, incarnation };
   } catch {
     return undefined;
--- a/src/core/server-health/probe-server.ts
+++ b/src/core/server-health/probe-server.ts
@@ -3,17 +3,17 @@
 import { classifyHealthAnswer } from './classify-answer';
 import type { CheckedServer, ServerObservation } from './types';
 
-/** Asks a server for its health; never rejects. */
+/** Runs one health check of a server. The promise never rejects. */
 export type ServerProbe = (server: CheckedServer) => Promise<ServerObservation>;
 
-/** Probes over HTTP. */
+/** Health checks over HTTP, with the connections that they use. */
 export interface ServerProber extends AsyncDisposable {
   readonly probe: ServerProbe;
 }
 
 /**
- * A prober with connections of its own. Each check makes a fresh one: a kept connection that a middlebox has
- * forgotten would show a live server as dead, and one that still works would hide that no new one can be made.
+ * Creates a prober with its own connections. Each check opens a new one: a kept connection that a middlebox has
+ * dropped would show a live server as dead, and one that still works would hide that no new one can be opened.
  */
 export function createServerProber(): ServerProber {
   const agent = new Agent({ pipelining: 0, keepAliveTimeout: 1 });
--- a/src/core/server-health/read-server-list.test.ts
+++ b/src/core/server-health/read-server-list.test.ts
@@ -35,13 +35,13 @@
   { name: 'in maintenance', list: [entry({}, [failing, maintenance])], expected: 'leaving' },
   { name: 'marked as leaving', list: [entry({ Meta: { leaving: 'true' } })], expected: 'leaving' },
   {
-    name: 'registered anew beside an old entry that leaves',
+    name: 'registered again beside an old entry that is leaving',
     list: [entry({ CreateIndex: 9 }), entry({ Meta: { leaving: 'true' } })],
     expected: 'passing',
   },
 ] as const;
 
-describe('what the platform’s list says of a server', () => {
+describe('the status of a server in the platform’s list', () => {
   for (const { name, list, expected } of cases) {
     it(`${name}: ${expected}`, () => {
       const statuses = listStatuses(serverListSchema.parse(list), [server]);
--- a/src/core/server-health/read-server-list.ts
+++ b/src/core/server-health/read-server-list.ts
@@ -1,7 +1,7 @@
 import { z } from 'zod';
 import type { CheckedServer, ListStatus } from './types';
 
-/** Reads the platform's list of one service, as the Consul health HTTP API answers it. */
+/** Parses the platform's list of the servers of one service, in the format of the Consul health HTTP API. */
 
 const entrySchema = z.object({
   Node: z.object({ Address: z.string() }).optional(),
@@ -15,14 +15,14 @@
   Checks: z.array(z.object({ CheckID: z.string(), Status: z.string() })).default([]),
 });
 
-/** The answer of `GET /v1/health/service/NAME`. */
+/** Schema of the answer to `GET /v1/health/service/NAME`. */
 export const serverListSchema = z.array(entrySchema);
 
-/** One entry of the list. */
+/** Entry of the list: one registered server with its checks. */
 export type ServerListEntry = z.output<typeof entrySchema>;
 
-/** Start of the id of the check by which Consul shows that a server was put into maintenance. */
-const MAINTENANCE_CHECKS = ['_service_maintenance', '_node_maintenance'];
+/** Id prefixes of the checks by which Consul shows that a server or its node is in maintenance. */
+const MAINTENANCE_CHECK_PREFIXES = ['_service_maintenance', '_node_maintenance'];
 
 function addressOf({ Node, Service }: ServerListEntry): string {
   const host = Service.Address === '' ? (Node?.Address ?? '') : Service.Address;
@@ -32,15 +32,17 @@
 function statusOf({ Service, Checks }: ServerListEntry): ListStatus {
   const isInMaintenance = Checks.some(
     ({ CheckID, Status }) =>
-      Status === 'critical' && MAINTENANCE_CHECKS.some((prefix) => CheckID.startsWith(prefix)),
+      Status === 'critical' &&
+      MAINTENANCE_CHECK_PREFIXES.some((prefix) => CheckID.startsWith(prefix)),
   );
   if (isInMaintenance || Service.Meta?.leaving === 'true') return 'leaving';
   return Checks.some(({ Status }) => Status === 'critical') ? 'failing' : 'passing';
 }
 
 /**
- * What the list says of each server. Entries are matched by address, which is what gets the work; of two under
- * one address the one registered last counts, since the other is left over from a server that has gone.
+ * Returns the status of each server in the list. Entries are matched by address, since requests are sent to the
+ * address. Of two entries with one address the one registered last counts: the other remains from a server that has
+ * gone.
  */
 export function listStatuses(
   entries: readonly ServerListEntry[],
@@ -49,8 +51,8 @@
   const latest = new Map<string, ServerListEntry>();
   for (const entry of entries) {
     const address = addressOf(entry);
-    const known = latest.get(address);
-    if (known === undefined || entry.Service.CreateIndex > known.Service.CreateIndex) {
+    const previous = latest.get(address);
+    if (previous === undefined || entry.Service.CreateIndex > previous.Service.CreateIndex) {
       latest.set(address, entry);
     }
   }
--- a/src/core/server-health/region-health.test.ts
+++ b/src/core/server-health/region-health.test.ts
@@ -21,10 +21,10 @@
 }
 
 describe('server health in a region', () => {
-  // A server says that it is leaving to the one instance that happens to check it. Until the others know, they
-  // go on opening streams there, which are cut when the server stops: callers lose half-written quotes.
+  // A leaving server reports it first to the instance that happens to check it. Until the others know, they keep
+  // opening streams to it, which are cut when the server stops: callers lose half-written quotes.
   for (const seed of [1, 2, 3, 4, 5]) {
-    it(`keeps new work from a leaving server everywhere 2 s after the first knows (seed ${seed})`, async () => {
+    it(`sends a leaving server no new work 2 s after the first instance knows (seed ${seed})`, async () => {
       const { clock, answers, usersOf } = startRegion(seed);
       await clock.advanceByAsync(3_000);
       assert.equal(usersOf(serverIdAt(5)), INSTANCES);
@@ -35,7 +35,7 @@
     });
   }
 
-  it('keeps new work from a dead server everywhere, and takes it back when it answers', async () => {
+  it('sends a dead server no new work from any instance, and uses it again when it answers', async () => {
     const { clock, answers, usersOf } = startRegion(7);
     await clock.advanceByAsync(3_000);
     answers.set(serverIdAt(3), 'failed');
@@ -47,9 +47,9 @@
     assert.equal(usersOf(serverIdAt(3)), INSTANCES);
   });
 
-  // The network card of one instance fails. Every check it makes fails, and were it believed, all the others
+  // The network card of one instance fails, so every check it makes fails. If its peers trusted its reports, they
   // would stop using healthy servers and refuse their callers.
-  it('believes no instance that finds most of its servers dead at once', async () => {
+  it('ignores the failures of an instance that finds most of its servers dead at once', async () => {
     const { clock, cutOff, instances, usersOf } = startRegion(11);
     await clock.advanceByAsync(3_000);
     cutOff.add(0);
@@ -60,9 +60,9 @@
     assert.equal(logger.of(SERVER_HEALTH_EVENTS.checksDoubted).length, 1);
   });
 
-  // Operators publish while a server is out for maintenance. Were an instance to take its own statement for that of
-  // a peer, it would keep the server out after it is back, until the statement expires.
-  it('does not take its own statements for those of peers when a new version comes into force', async () => {
+  // Operators publish a configuration while a server is out for maintenance. If an instance mistook its own
+  // statement for that of a peer, it would not use the server after its return until the statement expires.
+  it('does not mistake its own statements for those of peers when a new configuration takes effect', async () => {
     const { clock, answers, usersOf, publish } = startRegion(17);
     await clock.advanceByAsync(3_000);
     answers.set(serverIdAt(4), 'draining');
@@ -73,8 +73,8 @@
     assert.ok(backMs <= 5_000, `took ${backMs} ms`);
   });
 
-  // Were every instance to check every server, checks would grow with servers times instances until servers
-  // spend their time on answering them.
+  // If every instance checked every server, the number of checks would grow with servers times instances, until
+  // servers spend their time on answering them.
   it('checks each server as often as if there were two instances, however many there are', async () => {
     const { clock, probeCount } = startRegion(13);
     await clock.advanceByAsync(2_000);
--- a/src/core/server-health/server-record.ts
+++ b/src/core/server-health/server-record.ts
@@ -1,26 +1,27 @@
-import { failuresNeeded, judgeHealth } from './judge-health';
+import { failuresNeeded, evaluateHealth } from './judge-health';
 import type {
   CheckedServer,
   ListStatus,
-  PeerMark,
+  PeerStatement,
   ServerEvidence,
   ServerObservation,
   HealthState,
 } from './types';
 
-/** What is known of one server, as a value: each piece of news gives the next one. */
+/** Immutable record of one server. Each update returns a new record. */
 export interface ServerRecord {
   readonly server: CheckedServer;
   readonly evidence: ServerEvidence;
-  /** Checks in a row that failed, and that were good. */
+  /** Consecutive failed checks. */
   readonly failures: number;
+  /** Consecutive successful checks. */
   readonly successes: number;
   readonly healthState: HealthState;
-  /** When the slow start began; undefined for a server that was there from the first. */
+  /** When the slow start began; undefined for a server of the first configuration until it comes back or restarts. */
   readonly slowStartAtMs: number | undefined;
 }
 
-/** A server of which nothing is known yet; it may be tried. */
+/** Returns the record of a server without any evidence yet, which is usable. */
 export function createRecord(
   server: CheckedServer,
   slowStartAtMs: number | undefined,
@@ -29,12 +30,12 @@
     server,
     evidence: {
       incarnation: undefined,
-      saysDraining: false,
+      reportsDraining: false,
       failsChecks: false,
       listStatus: 'unknown',
       leavingIncarnation: undefined,
       lastSuccessAtMs: undefined,
-      peerMarks: [],
+      peerStatements: [],
     },
     failures: 0,
     successes: 0,
@@ -43,100 +44,110 @@
   };
 }
 
-function withEvidence(entry: ServerRecord, evidence: Partial<ServerEvidence>): ServerRecord {
-  return { ...entry, evidence: { ...entry.evidence, ...evidence } };
+function withEvidence(record: ServerRecord, evidence: Partial<ServerEvidence>): ServerRecord {
+  return { ...record, evidence: { ...record.evidence, ...evidence } };
 }
 
-function withFailure(entry: ServerRecord): ServerRecord {
-  const failures = entry.failures + 1;
-  const next = { ...entry, failures, successes: 0 };
-  const needed = failuresNeeded(entry.evidence.listStatus, entry.server.rules.failuresToDown);
-  return failures < needed ? next : withEvidence(next, { failsChecks: true, saysDraining: false });
+function withFailure(record: ServerRecord): ServerRecord {
+  const failures = record.failures + 1;
+  const next = { ...record, failures, successes: 0 };
+  const needed = failuresNeeded(record.evidence.listStatus, record.server.rules.failuresToDown);
+  return failures < needed
+    ? next
+    : withEvidence(next, { failsChecks: true, reportsDraining: false });
 }
 
-function withSuccess(entry: ServerRecord, nowMs: number): ServerRecord {
-  const successes = entry.successes + 1;
-  const next = withEvidence({ ...entry, failures: 0, successes }, { lastSuccessAtMs: nowMs });
-  if (successes < entry.server.rules.successesToUp) return next;
-  return withEvidence(next, { failsChecks: false, saysDraining: false });
+function withSuccess(record: ServerRecord, nowMs: number): ServerRecord {
+  const successes = record.successes + 1;
+  const next = withEvidence({ ...record, failures: 0, successes }, { lastSuccessAtMs: nowMs });
+  if (successes < record.server.rules.successesToUp) return next;
+  return withEvidence(next, { failsChecks: false, reportsDraining: false });
 }
 
-/** A new start has a cold cache, and none of what its predecessor said or suffered holds for it. */
+/**
+ * Updates the incarnation. A restarted server has a cold cache, so it gets a slow start, and the reports and failures
+ * of its predecessor do not apply to it.
+ */
 function withIncarnation(
-  entry: ServerRecord,
+  record: ServerRecord,
   incarnation: string | undefined,
   nowMs: number,
 ): ServerRecord {
-  const previous = entry.evidence.incarnation;
-  if (incarnation === undefined || incarnation === previous) return entry;
-  if (previous === undefined) return withEvidence(entry, { incarnation });
-  const renewed = withEvidence(entry, { incarnation, saysDraining: false, failsChecks: false });
+  const previous = record.evidence.incarnation;
+  if (incarnation === undefined || incarnation === previous) return record;
+  if (previous === undefined) return withEvidence(record, { incarnation });
+  const renewed = withEvidence(record, { incarnation, reportsDraining: false, failsChecks: false });
   return { ...renewed, slowStartAtMs: nowMs };
 }
 
-/** The record after a health check, or after what a server says of itself on any answer. */
+/** Returns the record after a health check, or after a server reported its state on any answer. */
 export function withObservation(
-  entry: ServerRecord,
+  record: ServerRecord,
   observation: ServerObservation,
   nowMs: number,
 ): ServerRecord {
   switch (observation.kind) {
     case 'failed':
-      return withFailure(entry);
+      return withFailure(record);
     case 'draining': {
-      const known = withIncarnation(entry, observation.incarnation, nowMs);
-      return withEvidence({ ...known, successes: 0 }, { saysDraining: true });
+      const updated = withIncarnation(record, observation.incarnation, nowMs);
+      return withEvidence({ ...updated, successes: 0 }, { reportsDraining: true });
     }
     case 'healthy':
-      return withSuccess(withIncarnation(entry, observation.incarnation, nowMs), nowMs);
+      return withSuccess(withIncarnation(record, observation.incarnation, nowMs), nowMs);
     default:
       return observation satisfies never;
   }
 }
 
-/** The record after a request had a good answer: no health check, but the server lives. */
-export function withAnswer(entry: ServerRecord, nowMs: number): ServerRecord {
-  return withEvidence(entry, { lastSuccessAtMs: nowMs });
+/** Returns the record after a good answer to a request, which is no health check but shows that the server is alive. */
+export function withAnswer(record: ServerRecord, nowMs: number): ServerRecord {
+  return withEvidence(record, { lastSuccessAtMs: nowMs });
 }
 
-/** The record after the platform's list was read. */
-export function withListStatus(entry: ServerRecord, listStatus: ListStatus): ServerRecord {
-  const { listStatus: previous, incarnation } = entry.evidence;
+/** Returns the record after the platform's list was read. */
+export function withListStatus(record: ServerRecord, listStatus: ListStatus): ServerRecord {
+  const { listStatus: previous, incarnation } = record.evidence;
   const startsLeaving = listStatus === 'leaving' && previous !== 'leaving';
-  return withEvidence(entry, {
+  return withEvidence(record, {
     listStatus,
     ...(startsLeaving ? { leavingIncarnation: incarnation } : {}),
   });
 }
 
-/** The record after a peer's statement, which replaces the peer's last one. */
-export function withMark(entry: ServerRecord, mark: PeerMark): ServerRecord {
-  const others = entry.evidence.peerMarks.filter(({ origin }) => origin !== mark.origin);
-  // A peer that says that nothing is the matter has nothing more to say.
-  const peerMarks = mark.kind === 'usable' ? others : [...others, mark];
-  return withEvidence(entry, { peerMarks });
+/** Returns the record after a statement of a peer, which replaces the previous one of that peer. */
+export function withPeerStatement(record: ServerRecord, statement: PeerStatement): ServerRecord {
+  const others = record.evidence.peerStatements.filter(({ origin }) => origin !== statement.origin);
+  // `usable` withdraws the previous statement of the peer, so nothing is stored.
+  const peerStatements = statement.kind === 'usable' ? others : [...others, statement];
+  return withEvidence(record, { peerStatements });
 }
 
-/** The record with its health state judged anew and expired statements forgotten. */
-export function judged(entry: ServerRecord, nowMs: number): ServerRecord {
-  const peerMarks = entry.evidence.peerMarks.filter((mark) => mark.expiresAtMs > nowMs);
-  const evidence = { ...entry.evidence, peerMarks };
-  const healthState = judgeHealth(evidence, nowMs);
-  const cameBack = healthState.kind === 'usable' && entry.healthState.kind !== 'usable';
+/** Returns the record with expired statements removed and its health state evaluated again. */
+export function withHealthState(record: ServerRecord, nowMs: number): ServerRecord {
+  const peerStatements = record.evidence.peerStatements.filter(
+    (statement) => statement.expiresAtMs > nowMs,
+  );
+  const evidence = { ...record.evidence, peerStatements };
+  const healthState = evaluateHealth(evidence, nowMs);
+  const cameBack = healthState.kind === 'usable' && record.healthState.kind !== 'usable';
   return {
-    ...entry,
+    ...record,
     evidence,
     healthState,
-    slowStartAtMs: cameBack ? nowMs : entry.slowStartAtMs,
+    slowStartAtMs: cameBack ? nowMs : record.slowStartAtMs,
   };
 }
 
-/** Whether there is something to look after: a failure, a statement, or a health state that is not plainly good. */
-export function isConcerned({ failures, evidence, healthState }: ServerRecord): boolean {
-  return failures > 0 || evidence.peerMarks.length > 0 || healthState.kind !== 'usable';
+/**
+ * Whether there is a failure, a statement of a peer or a health state other than usable, so that the record has to be
+ * evaluated and published again as time passes.
+ */
+export function needsAttention({ failures, evidence, healthState }: ServerRecord): boolean {
+  return failures > 0 || evidence.peerStatements.length > 0 || healthState.kind !== 'usable';
 }
 
-/** Whether this instance has reason of its own to check the server, beside its duties. */
-export function isQuestioned({ failures, evidence }: ServerRecord): boolean {
-  return failures > 0 || evidence.saysDraining || evidence.failsChecks;
+/** Whether this instance has evidence of its own against the server, and so checks it even when not on duty for it. */
+export function isSuspect({ failures, evidence }: ServerRecord): boolean {
+  return failures > 0 || evidence.reportsDraining || evidence.failsChecks;
 }
--- a/src/core/server-health/statement-publisher.ts
+++ b/src/core/server-health/statement-publisher.ts
@@ -1,54 +1,60 @@
 import type { Clock } from '../clock';
 import type { Logger } from '../events';
 import type { GossipBoard } from '../gossip';
-import { mayTellDown } from './choose-usable';
+import { mayReportDown } from './choose-usable';
 import { SERVER_HEALTH_EVENTS } from './events';
-import { MARK_RENEWAL_MS, markKey, toStatement } from './marks';
+import { STATEMENT_RENEWAL_INTERVAL_MS, statementKey, toGossipStatement } from './marks';
 import type { HealthTable } from './health-table';
 import type { CheckedServer, ServerObservation, HealthState } from './types';
 
-/** Tells the other instances of the region what this one vouches for. */
+/** Reports to the other instances of the region the health of the servers that this instance has observed itself. */
 export interface StatementPublisher {
-  /** Tells the health state of a server where that is news, or due to be said again. */
+  /** Publishes the health state of a server when it has changed or its statement is due for renewal. */
   publish(server: CheckedServer): void;
-  /** Notes the result of a check; true when the server has just gone down by it, and proof is wanted. */
-  noteCheck(server: CheckedServer, observation: ServerObservation): boolean;
+  /**
+   * Records the result of a check. Returns true when the result has just taken the server down, so that a good check
+   * of another server is needed to prove that the network of this instance works.
+   */
+  recordCheck(server: CheckedServer, observation: ServerObservation): boolean;
 }
 
-/** What telling needs. */
+/** Options of `createStatementPublisher`. */
 export interface StatementPublisherOptions {
   readonly clock: Clock;
   readonly logger: Logger;
   readonly gossip: GossipBoard;
   readonly region: string;
   readonly table: HealthTable;
-  /** How many servers this instance checks. */
+  /** Returns the number of servers that this instance checks. */
   readonly checkedCount: () => number;
 }
 
-/** Time without any good check after which an instance says in its log that it doubts itself. */
-const DOUBT_AFTER_MS = 2_000;
+/** Time since a failure without a good check, ms, after which an instance logs that its own network may have failed. */
+const DOUBT_LOG_DELAY_MS = 2_000;
 
-interface PublishedMark {
+interface PublishedStatement {
   readonly kind: HealthState['kind'];
   readonly atMs: number;
 }
 
-/** A publisher that has published nothing yet. */
+/** Creates the publisher of the statements of this instance. */
 export function createStatementPublisher(options: StatementPublisherOptions): StatementPublisher {
   const { clock, logger, gossip, region, table, checkedCount } = options;
-  const told = new Map<string, PublishedMark>();
+  const published = new Map<string, PublishedStatement>();
   const downSinceMs = new Map<string, number>();
   let lastGoodCheckAtMs: number | undefined;
-  let doubting = false;
+  let hasLoggedDoubt = false;
 
-  /** Whether the failure of a server is proven to be the server's; says so in the log when it long is not. */
-  const isProven = (serverId: string): boolean => {
+  /**
+   * Whether a failure is proven to be the server's and not this instance's. Logs once when the proof has been missing
+   * for `DOUBT_LOG_DELAY_MS`.
+   */
+  const isFailureProven = (serverId: string): boolean => {
     const nowMs = clock.monotonicMs();
     const failedAtMs = downSinceMs.get(serverId) ?? nowMs;
-    if (mayTellDown(failedAtMs, lastGoodCheckAtMs, checkedCount())) return true;
-    if (!doubting && nowMs - failedAtMs >= DOUBT_AFTER_MS) {
-      doubting = true;
+    if (mayReportDown(failedAtMs, lastGoodCheckAtMs, checkedCount())) return true;
+    if (!hasLoggedDoubt && nowMs - failedAtMs >= DOUBT_LOG_DELAY_MS) {
+      hasLoggedDoubt = true;
       logger.event(SERVER_HEALTH_EVENTS.checksDoubted, { down: downSinceMs.size });
     }
     return false;
@@ -58,21 +64,24 @@
     publish({ serverId, address }) {
       const nowMs = clock.monotonicMs();
       const { healthState, incarnation } = table.ownHealth(serverId, nowMs);
-      const previous = told.get(serverId);
-      const isNews = (previous?.kind ?? 'usable') !== healthState.kind;
+      const previous = published.get(serverId);
+      const isChange = (previous?.kind ?? 'usable') !== healthState.kind;
       const isRenewal =
-        healthState.kind !== 'usable' && nowMs - (previous?.atMs ?? 0) >= MARK_RENEWAL_MS;
-      if (!isNews && !isRenewal) return;
-      if (healthState.kind === 'down' && !isProven(serverId)) return;
-      told.set(serverId, { kind: healthState.kind, atMs: nowMs });
-      const mark = { kind: healthState.kind, incarnation };
-      gossip.put(toStatement(markKey(serverId, address), mark, region, clock.unixMs()));
+        healthState.kind !== 'usable' &&
+        nowMs - (previous?.atMs ?? 0) >= STATEMENT_RENEWAL_INTERVAL_MS;
+      if (!isChange && !isRenewal) return;
+      if (healthState.kind === 'down' && !isFailureProven(serverId)) return;
+      published.set(serverId, { kind: healthState.kind, atMs: nowMs });
+      const statement = { kind: healthState.kind, incarnation };
+      gossip.put(
+        toGossipStatement(statementKey(serverId, address), statement, region, clock.unixMs()),
+      );
     },
-    noteCheck({ serverId }, observation) {
+    recordCheck({ serverId }, observation) {
       const nowMs = clock.monotonicMs();
       if (observation.kind !== 'failed') {
         lastGoodCheckAtMs = nowMs;
-        doubting = false;
+        hasLoggedDoubt = false;
       }
       const { healthState } = table.ownHealth(serverId, nowMs);
       const isDown = healthState.kind !== 'usable' && healthState.cause === 'checks';
--- a/src/core/server-health/types.ts
+++ b/src/core/server-health/types.ts
@@ -1,24 +1,27 @@
-/** What one answer, or the lack of one, says about a backend server. */
+/** Result of a health check of a backend server, or what the answer to a request shows about the server. */
 export type ServerObservation =
   | { readonly kind: 'healthy'; readonly incarnation: string | undefined }
-  /** The server itself says that it takes no new work. */
+  /** The server reports that it accepts no new work. */
   | { readonly kind: 'draining'; readonly incarnation: string | undefined }
   | { readonly kind: 'failed'; readonly reason: string };
 
-/** How the platform's list has a server. Only `leaving` is an intention; the others are hints, since it lags. */
+/**
+ * Status of a server in the platform's list. Only `leaving` states an intention; the others are hints, since the
+ * list lags behind the servers.
+ */
 export type ListStatus = 'unknown' | 'passing' | 'failing' | 'leaving' | 'missing';
 
-/** How it is known that a server takes no new work. */
+/** Source of the evidence that a server is to get no new work. */
 export type HealthCause = 'selfReported' | 'list' | 'checks' | 'peer';
 
-/** Whether a server may be given new work. */
+/** Health of a server, which decides whether it may be sent new work. */
 export type HealthState =
   | { readonly kind: 'usable' }
   | { readonly kind: 'draining'; readonly cause: HealthCause }
   | { readonly kind: 'down'; readonly cause: HealthCause };
 
-/** What another instance says about a server, as it was taken in here. */
-export interface PeerMark {
+/** Statement of another instance about a server, with the local time at which it was received. */
+export interface PeerStatement {
   readonly origin: string;
   readonly kind: HealthState['kind'];
   readonly incarnation: string | undefined;
@@ -26,21 +29,21 @@
   readonly expiresAtMs: number;
 }
 
-/** Everything that a server's health state rests on. */
+/** All evidence from which the health state of a server is evaluated. */
 export interface ServerEvidence {
-  /** The start of the server that was last seen, where servers tell it. */
+  /** Incarnation that the server reported last; undefined when it has reported none. */
   readonly incarnation: string | undefined;
-  readonly saysDraining: boolean;
+  readonly reportsDraining: boolean;
   readonly failsChecks: boolean;
   readonly listStatus: ListStatus;
-  /** The start that was known when the list first said `leaving`. */
+  /** Value of `incarnation` when the list began to show the server as `leaving`. */
   readonly leavingIncarnation: string | undefined;
-  /** When this instance itself last had a good answer; undefined for never. */
+  /** When this instance last received a good answer from the server; undefined when it never has. */
   readonly lastSuccessAtMs: number | undefined;
-  readonly peerMarks: readonly PeerMark[];
+  readonly peerStatements: readonly PeerStatement[];
 }
 
-/** How the servers of one service are checked. */
+/** Health check settings of the servers of one service. */
 export interface CheckRules {
   readonly path: string;
   readonly intervalMs: number;
@@ -50,7 +53,7 @@
   readonly slowStartMs: number;
 }
 
-/** A backend server as its health is looked at. */
+/** Backend server with the settings of its health checks. */
 export interface CheckedServer {
   readonly serverId: string;
   readonly address: string;
--- a/src/core/server-health/watch-server-list.test.ts
+++ b/src/core/server-health/watch-server-list.test.ts
@@ -22,24 +22,24 @@
   },
 });
 
-/** Health that only notes what the list says. */
-function createListNotes(isOnDuty: boolean) {
+/** Creates a stand-in for the server health that only records the statuses of the list. */
+function createRecordingHealth(isOnDuty: boolean) {
   const statuses = new Map<string, ListStatus>();
-  const health: Pick<ServerHealth, 'servers' | 'noteList' | 'isOnDuty'> = {
+  const health: Pick<ServerHealth, 'servers' | 'recordListStatus' | 'isOnDuty'> = {
     servers: () => [checked('engine-1', '10.0.0.1:80'), checked('engine-2', '10.0.0.2:80')],
-    noteList: (serverId, status) => statuses.set(serverId, status),
+    recordListStatus: (serverId, status) => statuses.set(serverId, status),
     isOnDuty: () => isOnDuty,
   };
   return { statuses, health };
 }
 
 describe('the watch of the platform’s server list', () => {
-  // The platform marks a server as leaving minutes before it stops it. Unless the list is watched, the first
-  // sign is the cut of every stream that the server has.
-  it('notes a server that starts to leave, and one that the list lacks', async () => {
+  // The platform marks a server as leaving minutes before it stops it. If the list is not watched, the first sign is
+  // that all streams of the server are cut.
+  it('records a server that starts to leave, and one that is missing from the list', async () => {
     await using list = await openServerListStandIn();
     list.setServers('kit-assistant', [{ id: 'a', address: '10.0.0.1:80', state: 'passing' }]);
-    const { statuses, health } = createListNotes(true);
+    const { statuses, health } = createRecordingHealth(true);
     await using owned = createDisposableStore();
     owned.add(
       watchServerLists({
@@ -57,7 +57,7 @@
 
   it('reads nothing on an instance that is not on duty', async () => {
     await using list = await openServerListStandIn();
-    const { statuses, health } = createListNotes(false);
+    const { statuses, health } = createRecordingHealth(false);
     await using owned = createDisposableStore();
     owned.add(
       watchServerLists({
--- a/src/core/server-health/watch-server-list.ts
+++ b/src/core/server-health/watch-server-list.ts
@@ -8,28 +8,32 @@
 import { listStatuses, serverListSchema } from './read-server-list';
 import type { ServerListEntry } from './read-server-list';
 
-/** What the watch needs. */
+/** Options of `watchServerLists`. */
 export interface ServerListWatchOptions {
   readonly clock: Clock;
   readonly logger: Logger;
-  readonly health: Pick<ServerHealth, 'servers' | 'noteList' | 'isOnDuty'>;
-  /** Base URL of a catalogue that speaks the Consul health HTTP API. */
+  readonly health: Pick<ServerHealth, 'servers' | 'recordListStatus' | 'isOnDuty'>;
+  /** Base URL of a catalogue with the Consul health HTTP API. */
   readonly url: string;
 }
 
-/** How long the catalogue may hold a watch that has nothing new to tell. */
-const WATCH_WAIT_S = 30;
-const WATCH_GRACE_MS = 5_000;
-const RETRY_AFTER_FAILURE_MS = 2_000;
-/** How often it is looked whether services or duties have changed. */
-const DUTY_INTERVAL_MS = 1_000;
-const FORGET_AFTER_MS = 10_000;
+/** Time for which the catalogue may hold a watch request while the list does not change, s. */
+const MAX_WATCH_WAIT_S = 30;
+/** Time beyond `MAX_WATCH_WAIT_S` until a watch request without an answer fails, ms. */
+const WATCH_TIMEOUT_MARGIN_MS = 5_000;
+/** Delay after a failed watch request, ms. */
+const RETRY_DELAY_MS = 2_000;
+/** Interval between checks whether services or duties have changed, ms. */
+const DUTY_CHECK_INTERVAL_MS = 1_000;
+/** Time after the end of a watch at which the statuses from its list are reset, ms. */
+const STATUS_RESET_DELAY_MS = 10_000;
 
 interface ListAnswer {
   readonly index: string;
   readonly entries: readonly ServerListEntry[];
 }
 
+/** Requests the list of a service, which the catalogue returns once its index differs from `index` or the wait ends. */
 async function watchOnce(
   url: string,
   service: string,
@@ -37,34 +41,34 @@
   signal: AbortSignal,
 ): Promise<ListAnswer> {
   const response = await request(
-    `${url}/v1/health/service/${service}?index=${encodeURIComponent(index)}&wait=${WATCH_WAIT_S}s`,
-    { signal, headersTimeout: WATCH_WAIT_S * 1000 + WATCH_GRACE_MS },
+    `${url}/v1/health/service/${service}?index=${encodeURIComponent(index)}&wait=${MAX_WATCH_WAIT_S}s`,
+    { signal, headersTimeout: MAX_WATCH_WAIT_S * 1000 + WATCH_TIMEOUT_MARGIN_MS },
   );
   if (response.statusCode !== 200) {
     await response.body.dump();
     const reason = `status ${response.statusCode}`;
-    const place = { step: 'watch-server-list', peer: url };
-    throw gatewayError(ERRORS.platformUnavailable, [`Server list of ${service}`, reason], place);
+    const context = { step: 'watch-server-list', peer: url };
+    throw gatewayError(ERRORS.platformUnavailable, [`Server list of ${service}`, reason], context);
   }
   const entries = serverListSchema.parse(await response.body.json());
   return { index: String(response.headers['x-consul-index'] ?? '0'), entries };
 }
 
 /**
- * Watches the platform's lists of the region's services. Two instances of a region watch each list and tell the
- * others what it says of servers that leave: watches of all instances would count as reads of each of them.
+ * Watches the platform's lists of the region's services. Two instances of a region watch each list and report leaving
+ * servers to the others. If all instances watched, the catalogue would have to serve the reads of each of them.
  */
 export function watchServerLists(options: ServerListWatchOptions): AsyncDisposable {
   const { clock, logger, health, url } = options;
   const stopping = new AbortController();
   const watches = new Map<string, { stop: AbortController; task: Promise<void> }>();
 
-  const forgetAtMs = new Map<string, number>();
+  const statusResetAtMs = new Map<string, number>();
 
-  const noteAnswer = (service: string, { entries }: ListAnswer) => {
+  const recordListAnswer = (service: string, { entries }: ListAnswer) => {
     const servers = health.servers().filter((server) => server.service === service);
     for (const [serverId, status] of listStatuses(entries, servers)) {
-      health.noteList(serverId, status);
+      health.recordListStatus(serverId, status);
     }
   };
 
@@ -74,27 +78,27 @@
       try {
         const answer = await watchOnce(url, service, index, signal);
         index = answer.index;
-        noteAnswer(service, answer);
+        recordListAnswer(service, answer);
       } catch (error) {
         if (signal.aborted) return;
         const reason = errorText(error);
         logger.event(SERVER_HEALTH_EVENTS.listUnavailable, { peer: url, service, reason });
-        await sleepUntil(clock, clock.monotonicMs() + RETRY_AFTER_FAILURE_MS, signal);
+        await sleepUntil(clock, clock.monotonicMs() + RETRY_DELAY_MS, signal);
       }
     }
   };
 
   /**
-   * What a list said is forgotten some time after the duty to watch it went to another instance. Forgetting at
-   * once would give work to a leaving server again until that instance has read the list and told of it.
+   * Resets the statuses of a list some time after the duty to watch it went to another instance. Resetting them at
+   * once would send work to a leaving server again until that instance has read the list and reported the server.
    */
-  const forgetOldLists = () => {
+  const resetUnwatchedLists = () => {
     const nowMs = clock.monotonicMs();
-    for (const [service, atMs] of forgetAtMs) {
+    for (const [service, atMs] of statusResetAtMs) {
       if (watches.has(service) || atMs > nowMs) continue;
-      forgetAtMs.delete(service);
+      statusResetAtMs.delete(service);
       for (const server of health.servers()) {
-        if (server.service === service) health.noteList(server.serverId, 'unknown');
+        if (server.service === service) health.recordListStatus(server.serverId, 'unknown');
       }
     }
   };
@@ -105,12 +109,12 @@
       if (services.has(service) && health.isOnDuty(`list/${service}`)) continue;
       stop.abort();
       watches.delete(service);
-      forgetAtMs.set(service, clock.monotonicMs() + FORGET_AFTER_MS);
+      statusResetAtMs.set(service, clock.monotonicMs() + STATUS_RESET_DELAY_MS);
     }
     for (const service of services) {
       if (watches.has(service) || !health.isOnDuty(`list/${service}`)) continue;
       const stop = new AbortController();
-      forgetAtMs.delete(service);
+      statusResetAtMs.delete(service);
       watches.set(service, { stop, task: watchService(service, stop.signal) });
     }
   };
@@ -118,8 +122,8 @@
   const run = async (): Promise<void> => {
     while (!stopping.signal.aborted) {
       adjustWatches();
-      forgetOldLists();
-      await sleepUntil(clock, clock.monotonicMs() + DUTY_INTERVAL_MS, stopping.signal);
+      resetUnwatchedLists();
+      await sleepUntil(clock, clock.monotonicMs() + DUTY_CHECK_INTERVAL_MS, stopping.signal);
     }
   };
 
