--- a/src/core/entry/choose-entry.test.ts
+++ b/src/core/entry/choose-entry.test.ts
@@ -5,7 +5,7 @@
 
 const CALLERS = 2_000;
 
-interface MemberPlace {
+interface MemberProperties {
   readonly region: string;
   readonly domain: string;
   readonly index: number;
@@ -13,17 +13,17 @@
   readonly inFlightRequests?: number;
 }
 
-const member = (place: MemberPlace): MemberState => ({
-  instanceId: `${place.region}-${place.domain}-${place.index}`,
+const member = (properties: MemberProperties): MemberState => ({
+  instanceId: `${properties.region}-${properties.domain}-${properties.index}`,
   incarnation: 1,
   sequence: 1,
-  region: place.region,
-  failureDomain: `${place.region}-${place.domain}`,
+  region: properties.region,
+  failureDomain: `${properties.region}-${properties.domain}`,
   callerAddress: '',
   peerAddress: '',
-  status: place.status ?? 'alive',
+  status: properties.status ?? 'alive',
   configurationVersion: 1,
-  inFlightRequests: place.inFlightRequests ?? 0,
+  inFlightRequests: properties.inFlightRequests ?? 0,
 });
 
 const REGIONS = ['windhoek', 'rundu'];
@@ -59,26 +59,28 @@
     }
   });
 
-  it('is the same whichever instance is asked and in whatever order it knows the others', () => {
+  it('is the same on every instance, whatever the order of its member list', () => {
     assert.deepEqual(entriesOf([...fleet].reverse()), entriesOf(fleet));
   });
 
-  // A rack loses power. Were its callers all sent to the least loaded instance left, that one would fall over
-  // next; were all callers dealt anew, every instance would serve prefixes that it has never seen.
-  it('moves only the callers of a failure domain that goes, and scatters them over all that are left', () => {
+  // A rack loses power. If its callers all moved to the least loaded remaining instance, that one would be
+  // overloaded next; if all callers were reassigned, every instance would serve prefixes that it does not have
+  // cached.
+  it('moves only the callers of a failed failure domain, and spreads them over all remaining instances', () => {
     const before = entriesOf(fleet);
-    const left = fleet.filter((one) => one.failureDomain !== 'rundu-b');
-    const after = entriesOf(left);
+    const remaining = fleet.filter((one) => one.failureDomain !== 'rundu-b');
+    const after = entriesOf(remaining);
     const stayed = before.filter((name) => !name?.startsWith('rundu-b'));
     const lost = before.length - stayed.length;
     assert.equal(movedShare(before, after), lost / before.length);
-    const newcomers = countBy(after.filter((name, caller) => name !== before[caller]));
-    assert.equal(newcomers.size, 4);
-    for (const count of newcomers.values()) assert.ok(count < lost / 2.5, `${count} of ${lost}`);
+    const movedCallers = countBy(after.filter((name, caller) => name !== before[caller]));
+    assert.equal(movedCallers.size, 4);
+    for (const count of movedCallers.values()) assert.ok(count < lost / 2.5, `${count} of ${lost}`);
   });
 
-  // One caller's batch keeps an instance busy. Callers hashed to it wait behind work that others could share.
-  it('draws callers away from an instance with far more than its share, and moves no others', () => {
+  // A batch of one caller keeps an instance busy. Other callers hashed to it wait behind work that other
+  // instances could share.
+  it('moves callers away from an instance with far more than its share of load, and moves no others', () => {
     const busy = (inFlightRequests: number) =>
       fleet.map((one) => ({
         ...one,
@@ -92,7 +94,7 @@
     assert.ok(share > 0.2 && share < 0.55, `keeps ${share}`);
   });
 
-  it('moves nobody for differences of load that mean nothing', () => {
+  it('moves no callers because of insignificant differences in load', () => {
     const uneven = fleet.map((one, index) => ({ ...one, inFlightRequests: 20 + (index % 5) * 3 }));
     assert.equal(movedShare(entriesOf(fleet), entriesOf(uneven)), 0);
   });
@@ -112,7 +114,7 @@
     });
   }
 
-  it('names a suspected instance when no other is left, but never one that leaves', () => {
+  it('names a suspected instance when no live one remains, but never one that is leaving', () => {
     const only = (status: MemberStatus) =>
       entryOf([member({ region: 'rundu', domain: 'a', index: 1, status })], 1);
     assert.equal(only('suspect'), 'rundu-a-1');
--- a/src/core/entry/choose-entry.ts
+++ b/src/core/entry/choose-entry.ts
@@ -2,36 +2,36 @@
 import { weightedScore } from '../rendezvous';
 import { entryWeights } from './entry-weights';
 
-/** Which instance a caller should use. */
+/** The instance that a caller should use, with fallbacks. */
 export interface EntryChoice {
   readonly entry: MemberState;
-  /** Others to try in order, in other failure domains where there are any. */
+  /** Other instances to try, in order; those in other failure domains come first. */
   readonly fallbacks: readonly MemberState[];
 }
 
-/** What an entry is chosen from. */
+/** Input of `chooseEntry`. */
 export interface EntryQuestion {
   readonly members: readonly MemberState[];
-  /** Regions in which the caller's data may be. */
+  /** Regions that may hold the caller's data. */
   readonly regions: readonly string[];
   readonly homeRegion: string;
-  /** What stays together: the same key gets the same instance for as long as it may. */
+  /** Affinity key: the same key gets the same instance for as long as possible. */
   readonly key: string;
 }
 
-const FALLBACKS = 2;
+const MAX_FALLBACKS = 2;
 
-interface Scored {
+interface ScoredMember {
   readonly member: MemberState;
   readonly score: number;
 }
 
-function byScore(left: Scored, right: Scored): number {
+function byScore(left: ScoredMember, right: ScoredMember): number {
   if (left.score !== right.score) return right.score - left.score;
   return left.member.instanceId < right.member.instanceId ? -1 : 1;
 }
 
-function ranked(candidates: readonly MemberState[], key: string): readonly MemberState[] {
+function rankByScore(candidates: readonly MemberState[], key: string): readonly MemberState[] {
   const weights = entryWeights(candidates);
   return candidates
     .map((member) => ({
@@ -42,38 +42,38 @@
     .map(({ member }) => member);
 }
 
-/** Live instances, or those that are only suspected where no other is left: they may well answer. */
+/** Returns the live instances; if there are none, the suspected ones, which may still answer. */
 function candidatesOf(members: readonly MemberState[]): readonly MemberState[] {
   const alive = members.filter((member) => member.status === 'alive');
   return alive.length > 0 ? alive : members.filter((member) => member.status === 'suspect');
 }
 
 /**
- * Chooses among the live instances of the allowed regions, those of the home region before all others;
- * undefined when there is none.
+ * Chooses an instance among the live ones of the allowed regions, preferring the home region; returns
+ * undefined if there is none.
  *
- * Answers steady load from callers that ask at any instance, and the loss of a failure domain. To name the
- * least loaded instance sends every caller that asks between two exchanges of load to the same one, and moves
- * all of them again with the next. Rendezvous hashing spreads callers without memory, any instance gives the
- * same answer, a caller keeps its instance (and with it the prefixes that the instance knows to be cached),
- * and when instances go their callers scatter over all that are left instead of falling on one.
+ * Spreads callers evenly under steady load and after the loss of a failure domain. If the least loaded
+ * instance were returned instead, every caller that asks between two exchanges of load data would get the same
+ * one, and all of them would move with the next exchange. Rendezvous hashing needs no state, and every
+ * instance returns the same result. A caller keeps its instance, and with it the prefixes that the instance
+ * knows to be cached. When instances fail, their callers are spread over all remaining ones instead of one.
  */
 export function chooseEntry(question: EntryQuestion): EntryChoice | undefined {
   const { members, regions, homeRegion, key } = question;
   const allowed = candidatesOf(members.filter((member) => regions.includes(member.region)));
-  const atHome = ranked(
+  const atHome = rankByScore(
     allowed.filter((member) => member.region === homeRegion),
     key,
   );
-  const away = ranked(
+  const remote = rankByScore(
     allowed.filter((member) => member.region !== homeRegion),
     key,
   );
-  const [entry, ...others] = [...atHome, ...away];
+  const [entry, ...others] = [...atHome, ...remote];
   if (entry === undefined) return undefined;
   const isInSameDomain = (other: MemberState) =>
     other.region === entry.region && other.failureDomain === entry.failureDomain;
   const elsewhere = others.filter((other) => !isInSameDomain(other));
   const sameDomain = others.filter(isInSameDomain);
-  return { entry, fallbacks: [...elsewhere, ...sameDomain].slice(0, FALLBACKS) };
+  return { entry, fallbacks: [...elsewhere, ...sameDomain].slice(0, MAX_FALLBACKS) };
 }
--- a/src/core/entry/entry-answer.ts
+++ b/src/core/entry/entry-answer.ts
@@ -1,24 +1,27 @@
 import type { MemberState } from '../membership';
 import type { EntryChoice } from './choose-entry';
 
-/** One instance as callers are told of it. */
+/** An instance as returned to callers. */
 export interface EntryInstance {
   readonly instanceId: string;
-  /** host:port for callers. */
+  /** Address for callers, host:port. */
   readonly address: string;
   readonly region: string;
   readonly failureDomain: string;
 }
 
-/** The answer of `GET /v1/entry`. */
+/** Response body of `GET /v1/entry`. */
 export interface EntryAnswer {
   readonly entry: EntryInstance;
   readonly fallbacks: readonly EntryInstance[];
-  /** After this, ask again. */
+  /** Time from which the caller should request its entry again. */
   readonly askAgainAtUnixMs: number;
 }
 
-/** Long enough that asking costs little beside the work, short enough that a stop moves callers soon. */
+/**
+ * TTL of an entry, ms: long enough that the requests for it cost little, short enough that callers move soon
+ * after an instance stops.
+ */
 export const ENTRY_VALID_MS = 10_000;
 
 function toInstance(member: MemberState): EntryInstance {
@@ -30,22 +33,18 @@
   };
 }
 
-/** Part of the time of validity over which the next questions of callers are scattered. */
-const SCATTER = 0.4;
+/** Share of the TTL over which the next entry requests of callers are spread. */
+const JITTER_SHARE = 0.4;
 
 /**
- * The choice as it is answered. Callers that asked together (after an instance or a failure domain went) are
- * told different times to ask again, or they would come together each time for as long as they run: `scatter`,
- * from 0 up to 1, differs with each answer.
+ * Converts a choice to a response body. Callers that requested an entry at the same time (after an instance or
+ * failure domain failed) get different times for the next request, since otherwise they would all return at
+ * the same time for as long as they run. `jitter`, from 0 to less than 1, differs with each answer.
  */
-export function toEntryAnswer(
-  choice: EntryChoice,
-  nowUnixMs: number,
-  scatter: number,
-): EntryAnswer {
+export function toEntryAnswer(choice: EntryChoice, nowUnixMs: number, jitter: number): EntryAnswer {
   return {
     entry: toInstance(choice.entry),
     fallbacks: choice.fallbacks.map(toInstance),
-    askAgainAtUnixMs: nowUnixMs + Math.round(ENTRY_VALID_MS * (1 - SCATTER * scatter)),
+    askAgainAtUnixMs: nowUnixMs + Math.round(ENTRY_VALID_MS * (1 - JITTER_SHARE * jitter)),
   };
 }
--- a/src/core/entry/entry-key.test.ts
+++ b/src/core/entry/entry-key.test.ts
@@ -30,12 +30,13 @@
     });
   }
 
-  it('keeps one machine at one key', () => {
+  it('gives one machine always the same key', () => {
     assert.equal(entryKey(caller(5_000), '10.1.2.3'), entryKey(caller(5_000), '10.1.2.3'));
   });
 
-  // Callers that lost their instance in one moment ask for another together, and would ask again together.
-  it('scatters the times at which callers ask again', () => {
+  // Callers that lost their instance at the same moment request another at the same time, and would keep doing
+  // so.
+  it('spreads the times at which callers request an entry again', () => {
     const member = {
       instanceId: 'rundu-a-1',
       incarnation: 1,
@@ -49,7 +50,7 @@
       inFlightRequests: 0,
     } as const;
     const choice = { entry: member, fallbacks: [] };
-    const times = [0, 0.5, 0.999].map((scatter) => toEntryAnswer(choice, 0, scatter));
+    const times = [0, 0.5, 0.999].map((jitter) => toEntryAnswer(choice, 0, jitter));
     assert.deepEqual(
       times.map(({ askAgainAtUnixMs }) => askAgainAtUnixMs),
       [10_000, 8_000, 6_004],
--- a/src/core/entry/index.ts
+++ b/src/core/entry/index.ts
@@ -1,4 +1,4 @@
-/** Callers ask which instance to use, since nothing balances before the instances. */
+/** Chooses the instance that a caller should use, since there is no load balancer in front of the instances. */
 export { chooseEntry } from './choose-entry';
 export type { EntryChoice, EntryQuestion } from './choose-entry';
 export { ENTRY_VALID_MS, toEntryAnswer } from './entry-answer';
--- a/src/core/outliers/events.ts
+++ b/src/core/outliers/events.ts
@@ -6,7 +6,7 @@
     id: 1400,
     name: 'server-ejected',
     level: 'warn',
-    text: 'A server fails, or takes far longer than others of its kind; it gets no requests for a while.',
-    action: 'Look at the server named; it comes back by itself, at first with few requests.',
+    text: 'A server fails or is far slower than others of its group; it temporarily gets no requests.',
+    action: 'Check the named server; it is used again automatically, at first with few requests.',
   },
 } as const satisfies Record<string, EventDefinition>;
--- a/src/core/outliers/index.ts
+++ b/src/core/outliers/index.ts
@@ -1,4 +1,4 @@
-/** Servers that fail or are slow among good ones. */
+/** Detects and ejects servers that fail or are slow while others of their group are not. */
 export { OUTLIER_EVENTS } from './events';
 export { keepUsable } from './keep-usable';
 export { createOutlierTracker } from './outlier-tracker';
--- a/src/core/outliers/keep-usable.ts
+++ b/src/core/outliers/keep-usable.ts
@@ -2,8 +2,8 @@
 import type { OutlierTracker } from './outlier-tracker';
 
 /**
- * The servers that a request may go to now, or all of them when none may: where every server looks bad, one of
- * them is still better than a refusal.
+ * Returns the servers that a request may use now, or all of them if none is usable: if every server appears
+ * bad, trying one is still better than refusing the request.
  */
 export function keepUsable<Server extends { readonly serverId: string }>(
   tracker: OutlierTracker,
--- a/src/core/outliers/latency-level.ts
+++ b/src/core/outliers/latency-level.ts
@@ -1,7 +1,7 @@
 /**
- * How long a server takes per unit of work, on a logarithmic scale: a moving geometric mean. Times of model
- * answers spread over two orders of magnitude, so that in a plain mean one long floor plan among short
- * questions would make a good server look slow.
+ * Time that a server takes per unit of work, as a moving geometric mean on a logarithmic scale. Response times
+ * of models vary by two orders of magnitude, so that with an arithmetic mean one long floor plan among short
+ * questions would make a good server appear slow.
  */
 export interface LatencyLevel {
   /** Natural logarithm of ms per unit of work. */
@@ -9,34 +9,34 @@
   readonly samples: number;
 }
 
-/** Weight of a new sample; about the last ten count. */
+/** Weight of a new sample; the mean reflects about the last ten samples. */
 const NEW_SAMPLE_WEIGHT = 0.2;
-/** Shorter times than this are not told apart, ms. */
-const SHORTEST_MS = 0.1;
+/** Minimum duration, ms; shorter ones count as this. */
+const MIN_DURATION_MS = 0.1;
 
-/** The level before any sample. */
+/** Level without any samples. */
 export const NO_LEVEL: LatencyLevel = { level: 0, samples: 0 };
 
-/** The value of one sample on the scale. */
+/** Converts a duration to the logarithmic scale. */
 export function toLevel(durationMs: number, workUnits: number): number {
-  return Math.log(Math.max(SHORTEST_MS, durationMs) / Math.max(1, workUnits));
+  return Math.log(Math.max(MIN_DURATION_MS, durationMs) / Math.max(1, workUnits));
 }
 
-/** Takes one sample in; the first few are averaged evenly. */
+/** Adds one sample; the first few samples are averaged with equal weight. */
 export function addSample({ level, samples }: LatencyLevel, sample: number): LatencyLevel {
   const weight = Math.max(NEW_SAMPLE_WEIGHT, 1 / (samples + 1));
   return { level: level + weight * (sample - level), samples: samples + 1 };
 }
 
 /**
- * Takes in a time that is not over yet, if it has reached the level already. A server that has become ten times
- * slower brings no samples for a while; its open tries tell of it before they end.
+ * Adds the duration so far of an unfinished attempt if it has already reached the level. A server that has
+ * become ten times slower yields no samples for a while; its open attempts reveal this before they end.
  */
 export function addLowerBound(known: LatencyLevel, sample: number): LatencyLevel {
   return sample >= known.level ? addSample(known, sample) : known;
 }
 
-/** The middle of some levels; undefined for none. */
+/** Returns the median of the levels; undefined if there are none. */
 export function medianLevel(levels: readonly LatencyLevel[]): number | undefined {
   const sorted = levels.map(({ level }) => level).sort((left, right) => left - right);
   return sorted[Math.floor((sorted.length - 1) / 2)];
--- a/src/core/outliers/outlier-tracker.test.ts
+++ b/src/core/outliers/outlier-tracker.test.ts
@@ -9,7 +9,7 @@
 const OPTIONS = resilienceSchema.parse({}).outliers;
 const GROUP = 'kit';
 
-/** A tracker whose servers answer after a time of their own, one after the other. */
+/** Creates a tracker with simulated servers that answer one after the other, each after its own time. */
 function fleet(serverCount: number) {
   const ejections: Ejection[] = [];
   const tracker = createOutlierTracker(
@@ -39,10 +39,10 @@
   return { tracker, ejections, serverIds, begin, answer, fail, ejectionStates, warmUp };
 }
 
-// One server of a service refuses each connection within a millisecond. It always looks idle, so that most
-// requests go to it; callers see most of their requests fail while the other servers stand by.
+// One server of a service refuses each connection within a millisecond. It always looks idle and so attracts
+// most requests; these fail although the other servers have capacity.
 describe('a server that fails', () => {
-  it('is ejected after some failures in a row, for twice as long each time', () => {
+  it('is ejected after several consecutive failures, for twice as long each time', () => {
     const { tracker, fail, warmUp, ejections } = fleet(3);
     let nowMs = warmUp();
     fail('engine-1', nowMs, OPTIONS.failuresInARow - 1);
@@ -62,7 +62,7 @@
     );
   });
 
-  it('is left out sooner and for a short time when nothing listens on it', () => {
+  it('is ejected sooner and for a short time if nothing listens on it', () => {
     const { tracker, fail, warmUp, ejections } = fleet(3);
     const nowMs = warmUp();
     fail('engine-1', nowMs, 1, 'unreachable');
@@ -78,7 +78,7 @@
     );
   });
 
-  it('stays in use when an answer comes between its failures', () => {
+  it('stays in use if it answers between its failures', () => {
     const { tracker, fail, answer, warmUp } = fleet(3);
     const nowMs = warmUp();
     for (let round = 0; round < 5; round += 1) {
@@ -88,7 +88,7 @@
     assert.equal(tracker.ejectionState('engine-1', nowMs + 5), 'inUse');
   });
 
-  it('has its old ejections forgotten after long good order', () => {
+  it('has its old ejections forgotten after working well for a long time', () => {
     const { fail, warmUp, ejections } = fleet(3);
     const nowMs = warmUp();
     fail('engine-1', nowMs, OPTIONS.failuresInARow);
@@ -101,10 +101,10 @@
   });
 });
 
-// One engine runs ten times slower than its kind, for example on a throttled accelerator. It answers, so that
-// nothing counts as a failure, and every request that meets it waits many times as long.
+// One engine runs ten times slower than others of its group, for example on a throttled accelerator. It
+// answers, so that nothing counts as a failure, but each request sent to it takes many times as long.
 describe('a slow server', () => {
-  it('is ejected once its answers are slower than its kind’s by the factor', () => {
+  it('is ejected once its answers are slower than those of its group by the factor', () => {
     const { tracker, answer, warmUp, serverIds } = fleet(4);
     const startMs = warmUp();
     for (let round = 0; round < 12; round += 1) {
@@ -116,7 +116,7 @@
     assert.equal(tracker.ejectionState('engine-2', nowMs), 'inUse');
   });
 
-  it('is found out by requests that are still open', () => {
+  it('is detected by requests that are still open', () => {
     const { tracker, begin, answer, warmUp } = fleet(4);
     const startMs = warmUp();
     for (let request = 0; request < 8; request += 1) begin('engine-1', startMs);
@@ -124,7 +124,7 @@
     assert.equal(tracker.ejectionState('engine-1', startMs + 1_100), 'ejected');
   });
 
-  it('is found out by the pace of its streams when their heads come in time', () => {
+  it('is detected by the rate of its streamed answers even if their heads arrive in time', () => {
     const { tracker, begin, serverIds, warmUp } = fleet(4);
     const startMs = warmUp();
     for (let round = 0; round < 16; round += 1) {
@@ -140,7 +140,7 @@
     assert.equal(tracker.ejectionState('engine-3', startMs + 4_000), 'inUse');
   });
 
-  it('is not taken for slow because its work is larger', () => {
+  it('is not considered slow because its requests are larger', () => {
     const { tracker, begin, answer, warmUp } = fleet(4);
     const startMs = warmUp();
     for (let round = 0; round < 20; round += 1) {
@@ -151,7 +151,7 @@
     assert.equal(tracker.ejectionState('engine-1', startMs + 5_000), 'inUse');
   });
 
-  it('gets little at first when it comes back, and a tenth of its old times shows it again', () => {
+  it('gets few requests at first when it returns, and is ejected again after two slow attempts', () => {
     const { tracker, begin, fail, warmUp } = fleet(4);
     const startMs = warmUp();
     fail('engine-1', startMs, OPTIONS.failuresInARow);
@@ -172,9 +172,9 @@
   });
 });
 
-// The network or an application behind all servers fails. If every server were ejected for it, nothing would
-// be left to answer when it comes back, and until then the last server would get the whole load.
-describe('the floor under ejections', () => {
+// The network or an application behind all servers fails. If every server were ejected for it, none could
+// answer after the recovery, and until then the last server would get the whole load.
+describe('the limit on ejections', () => {
   const cases = [
     { servers: 1, mostEjected: 0 },
     { servers: 2, mostEjected: 1 },
@@ -182,7 +182,7 @@
     { servers: 8, mostEjected: 4 },
   ];
   for (const { servers, mostEjected } of cases) {
-    it(`lets ${mostEjected} of ${servers} failing servers be ejected`, () => {
+    it(`ejects ${mostEjected} of ${servers} failing servers`, () => {
       const { fail, serverIds, ejectionStates, warmUp } = fleet(servers);
       const nowMs = warmUp();
       serverIds.forEach((id) => fail(id, nowMs, 20));
@@ -193,7 +193,7 @@
     });
   }
 
-  it('does not count servers that cannot be reached, but leaves one', () => {
+  it('does not count unreachable servers, but always keeps one server', () => {
     const { fail, serverIds, ejectionStates, warmUp } = fleet(8);
     const nowMs = warmUp();
     serverIds.forEach((id) => fail(id, nowMs, 20, 'unreachable'));
@@ -203,7 +203,7 @@
     );
   });
 
-  it('still offers a server when the only candidates are ejected', () => {
+  it('still offers a server if all candidates are ejected', () => {
     const { tracker, fail, warmUp } = fleet(2);
     const nowMs = warmUp();
     fail('engine-1', nowMs, OPTIONS.failuresInARow);
--- a/src/core/outliers/outlier-tracker.ts
+++ b/src/core/outliers/outlier-tracker.ts
@@ -3,35 +3,37 @@
 import {
   NEVER_EJECTED,
   nextEjection,
-  pauseUnreachable,
+  ejectUnreachable,
   shareAt,
   ejectionStateAt,
 } from './ejection-schedule';
 import type { EjectionSchedule } from './ejection-schedule';
 import { medianLevel } from './latency-level';
-import { NO_TIMES, addEnd, addHead, addUnfinished } from './server-times';
-import type { OpenTry, ServerTimes } from './server-times';
+import { NO_TIMES, recordEnd, recordHead, recordUnfinished } from './server-times';
+import type { OpenAttempt, ServerTimes } from './server-times';
 import type { Ejection, EjectionReason, ObservedServer, ObservedTry, EjectionState } from './types';
 
 /**
- * Answers one bad server among good ones: it fails, or takes many times as long, and still gets its share of
- * requests - or more than its share, since a server that fails at once never looks busy. Without this the
- * tail of all callers is that server's; one notices a p99 of a service that one server alone explains.
+ * Detects a bad server among good ones and ejects it. Such a server fails, or takes many times as long, and
+ * still gets its share of requests, or more than that, since a server that fails at once never looks busy.
+ * Without ejection it determines the tail latency of all callers; the symptom is a p99 of a service that one
+ * server alone causes.
  *
- * - `failuresInARow` (5): a server that fails half of the time gets there within about 60 requests, while one
- *   that fails 1 in 100 practically never does.
- * - `slowFactor` (3): servers with equal work differ by less than 2 through chance and caches; below 3, a
+ * - `failuresInARow` (5): a server that fails half of the time reaches this within about 60 requests, while
+ *   one that fails 1 in 100 practically never does.
+ * - `slowFactor` (3): servers with equal work differ by less than 2 because of chance and caches; below 3, a
  *   server with a cold cache would be ejected just when it should warm up.
- * - `mostEjectedShare` (0.5): where more than half look bad the fault is common to them, and ejecting would
+ * - `mostEjectedShare` (0.5): if more than half look bad, they have a common fault, and ejecting them would
  *   put the whole load on the rest.
- * - A server that refuses connections is left out for 2 s at a time and does not count against that share: it
- *   has no capacity to lose. Counted and kept out like the others, servers that were up again held the places
- *   of servers that were down. At least one server always stays.
+ * - A server that refuses connections is ejected for 2 s at a time and does not count towards that share,
+ *   since it has no capacity to lose. When such servers were counted and kept ejected like the others,
+ *   servers that were up again used up the share, so that servers that were down could not be ejected. At
+ *   least one server always remains.
  */
 export interface OutlierTracker {
-  /** Notes a try that begins now. `workUnits` scales its time, 1 for work of the usual size. */
+  /** Records the start of an attempt. `workUnits` scales its time, 1 for work of the usual size. */
   begin(server: ObservedServer, workUnits: number, nowMs: number): ObservedTry;
-  /** Whether a request may go to the server; drawn by chance for one that is returning. */
+  /** Returns whether a request may go to the server; random for a server that is returning. */
   mayUse(serverId: string, nowMs: number, random: RandomSource): boolean;
   ejectionState(serverId: string, nowMs: number): EjectionState;
 }
@@ -44,28 +46,32 @@
   readonly schedule: EjectionSchedule;
   readonly ejectedFor: EjectionReason | undefined;
   readonly lastUsedAtMs: number;
-  readonly open: Set<OpenTry>;
+  readonly open: Set<OpenAttempt>;
 }
 
 interface Group {
   readonly serverIds: Set<string>;
-  nextLookAtMs: number;
+  nextComparisonAtMs: number;
 }
 
-/** Pause between two comparisons of a group, so that their cost does not grow with traffic. */
-const LOOK_EVERY_MS = 200;
-/** Samples before a server is judged by its times. */
-const LEAST_SAMPLES = 8;
-/** The same for one that is returning: it is under suspicion already. */
-const LEAST_SAMPLES_RETURNING = 2;
-/** Failures in a row that eject a returning server. */
-const RETURNING_FAILURES = 2;
-/** Refused connections in a row that eject a server: nothing listens there, which chance does not explain. */
-const UNREACHABLE_IN_A_ROW = 2;
-/** A server without any try for so long has left the group, ms. */
-const FORGET_SERVER_MS = 900_000;
-
-/** A tracker without any server. `onEjection` is told of each ejection, for the log. */
+/** Minimum interval between two comparisons of a group, ms, so that their cost does not grow with traffic. */
+const COMPARISON_INTERVAL_MS = 200;
+/** Minimum number of samples before a server is evaluated by its times. */
+const MIN_SAMPLES = 8;
+/** The same for a returning server, which has already been found bad once. */
+const MIN_SAMPLES_RETURNING = 2;
+/** Consecutive failures that eject a returning server. */
+const FAILURES_TO_EJECT_RETURNING = 2;
+/**
+ * Consecutive refused connections that eject a server: nothing listens there, which chance does not explain.
+ */
+const UNREACHABLE_TO_EJECT = 2;
+/** Time without attempts after which a server is considered removed from its group, ms. */
+const SERVER_IDLE_TTL_MS = 900_000;
+
+/**
+ * Creates a tracker without any servers. `onEjection` is called for each ejection, so that it can be logged.
+ */
 export function createOutlierTracker(
   options: () => OutlierOptions,
   onEjection: (ejection: Ejection) => void,
@@ -91,8 +97,8 @@
     return record;
   };
 
-  const groupNamed = (name: string, nowMs: number): Group => {
-    const group = groups.get(name) ?? { serverIds: new Set(), nextLookAtMs: nowMs };
+  const getOrCreateGroup = (name: string, nowMs: number): Group => {
+    const group = groups.get(name) ?? { serverIds: new Set(), nextComparisonAtMs: nowMs };
     groups.set(name, group);
     return group;
   };
@@ -108,19 +114,21 @@
     const ejected = [...serverIds].filter((id) => ejectionStateOf(id, nowMs) === 'ejected');
     if (ejected.length + 1 >= serverIds.size) return false;
     if (reason === 'unreachable') return true;
-    const bad = ejected.filter((id) => recordOf(id).ejectedFor !== 'unreachable').length;
-    return bad + 1 <= Math.floor(serverIds.size * options().mostEjectedShare);
+    const countedEjections = ejected.filter(
+      (id) => recordOf(id).ejectedFor !== 'unreachable',
+    ).length;
+    return countedEjections + 1 <= Math.floor(serverIds.size * options().mostEjectedShare);
   };
 
   const eject = (name: string, serverId: string, reason: EjectionReason, nowMs: number): void => {
     if (ejectionStateOf(serverId, nowMs) === 'ejected') return;
-    if (!mayEjectOneMore(groupNamed(name, nowMs), reason, nowMs)) return;
+    if (!mayEjectOneMore(getOrCreateGroup(name, nowMs), reason, nowMs)) return;
     const { schedule: previous } = recordOf(serverId);
     const schedule =
       reason === 'unreachable'
-        ? pauseUnreachable(previous, nowMs)
+        ? ejectUnreachable(previous, nowMs)
         : nextEjection(previous, nowMs, options());
-    // What it did so far must not decide about its return.
+    // The record from before the ejection must not affect the return.
     update(serverId, {
       schedule,
       ejectedFor: reason,
@@ -131,12 +139,15 @@
     onEjection({ serverId, group: name, reason, ...schedule });
   };
 
-  /** Its times with its open tries; those from before an ejection say nothing about the return. */
-  const timesNow = (serverId: string, nowMs: number): ServerTimes => {
+  /**
+   * Returns the times of a server including its open attempts; those started before the last ejection ended
+   * are ignored, since they do not reflect its state after the return.
+   */
+  const timesIncludingOpen = (serverId: string, nowMs: number): ServerTimes => {
     const { times, open, schedule } = recordOf(serverId);
     return [...open]
       .filter(({ startedAtMs }) => startedAtMs >= schedule.untilMs)
-      .reduce((current, one) => addUnfinished(current, one, nowMs), times);
+      .reduce((current, one) => recordUnfinished(current, one, nowMs), times);
   };
 
   const isSlowBy = (
@@ -145,26 +156,26 @@
     serverId: string,
     nowMs: number,
   ): boolean => {
-    const level = timesNow(serverId, nowMs)[kind];
+    const level = timesIncludingOpen(serverId, nowMs)[kind];
     const isReturning = ejectionStateOf(serverId, nowMs) === 'returning';
-    if (level.samples < (isReturning ? LEAST_SAMPLES_RETURNING : LEAST_SAMPLES)) return false;
+    if (level.samples < (isReturning ? MIN_SAMPLES_RETURNING : MIN_SAMPLES)) return false;
     const others = [...serverIds]
       .filter((other) => other !== serverId)
       .map((other) => recordOf(other).times[kind])
-      .filter(({ samples }) => samples >= LEAST_SAMPLES);
-    const usual = medianLevel(others);
-    return usual !== undefined && level.level > usual + Math.log(options().slowFactor);
+      .filter(({ samples }) => samples >= MIN_SAMPLES);
+    const median = medianLevel(others);
+    return median !== undefined && level.level > median + Math.log(options().slowFactor);
   };
 
   const isSlow = (group: Group, serverId: string, nowMs: number): boolean =>
     isSlowBy('untilHead', group, serverId, nowMs) || isSlowBy('perPart', group, serverId, nowMs);
 
-  const look = (name: string, nowMs: number): void => {
-    const group = groupNamed(name, nowMs);
-    if (nowMs < group.nextLookAtMs) return;
-    group.nextLookAtMs = nowMs + LOOK_EVERY_MS;
+  const ejectSlowServers = (name: string, nowMs: number): void => {
+    const group = getOrCreateGroup(name, nowMs);
+    if (nowMs < group.nextComparisonAtMs) return;
+    group.nextComparisonAtMs = nowMs + COMPARISON_INTERVAL_MS;
     for (const serverId of [...group.serverIds]) {
-      if (nowMs - recordOf(serverId).lastUsedAtMs > FORGET_SERVER_MS) {
+      if (nowMs - recordOf(serverId).lastUsedAtMs > SERVER_IDLE_TTL_MS) {
         group.serverIds.delete(serverId);
         records.delete(serverId);
       } else if (isSlow(group, serverId, nowMs)) {
@@ -173,58 +184,61 @@
     }
   };
 
-  const noteUnreachable = (name: string, serverId: string, nowMs: number): void => {
+  const recordUnreachable = (name: string, serverId: string, nowMs: number): void => {
     const unreachableInARow = recordOf(serverId).unreachableInARow + 1;
     update(serverId, { unreachableInARow });
     const isReturning = ejectionStateOf(serverId, nowMs) === 'returning';
-    const limit = isReturning ? 1 : UNREACHABLE_IN_A_ROW;
+    const limit = isReturning ? 1 : UNREACHABLE_TO_EJECT;
     if (unreachableInARow >= limit) eject(name, serverId, 'unreachable', nowMs);
   };
 
-  const noteFailure = (name: string, serverId: string, nowMs: number): void => {
+  const recordFailure = (name: string, serverId: string, nowMs: number): void => {
     const failuresInARow = recordOf(serverId).failuresInARow + 1;
     update(serverId, { failuresInARow });
     const isReturning = ejectionStateOf(serverId, nowMs) === 'returning';
-    const limit = isReturning ? RETURNING_FAILURES : options().failuresInARow;
+    const limit = isReturning ? FAILURES_TO_EJECT_RETURNING : options().failuresInARow;
     if (failuresInARow >= limit) eject(name, serverId, 'failures', nowMs);
   };
 
   return {
     begin({ serverId, group }, workUnits, nowMs) {
-      groupNamed(group, nowMs).serverIds.add(serverId);
-      const open: OpenTry = { startedAtMs: nowMs, workUnits, headAtMs: undefined, parts: 0 };
+      getOrCreateGroup(group, nowMs).serverIds.add(serverId);
+      const open: OpenAttempt = { startedAtMs: nowMs, workUnits, headAtMs: undefined, parts: 0 };
       const { open: allOpen } = update(serverId, { lastUsedAtMs: nowMs });
       allOpen.add(open);
-      look(group, nowMs);
-      /** Tries from before an ejection must not count against the return. */
-      const isOfNow = () => open.startedAtMs >= recordOf(serverId).schedule.untilMs;
-      const addTimes = (add: typeof addHead, atMs: number) =>
+      ejectSlowServers(group, nowMs);
+      /**
+       * Returns whether the attempt started after the last ejection ended; earlier attempts must not affect the
+       * return.
+       */
+      const startedAfterEjection = () => open.startedAtMs >= recordOf(serverId).schedule.untilMs;
+      const addTimes = (add: typeof recordHead, atMs: number) =>
         update(serverId, { times: add(recordOf(serverId).times, open, atMs) });
       return {
         headReceived(atMs, isFailure) {
           open.headAtMs = atMs;
-          if (!isOfNow()) return;
+          if (!startedAfterEjection()) return;
           if (isFailure) {
-            noteFailure(group, serverId, atMs);
+            recordFailure(group, serverId, atMs);
             return;
           }
           update(serverId, { failuresInARow: 0, unreachableInARow: 0 });
-          addTimes(addHead, atMs);
-          look(group, atMs);
+          addTimes(recordHead, atMs);
+          ejectSlowServers(group, atMs);
         },
         partsReceived(count) {
           open.parts += count;
         },
         ended(atMs) {
-          if (allOpen.delete(open) && isOfNow()) addTimes(addEnd, atMs);
+          if (allOpen.delete(open) && startedAfterEjection()) addTimes(recordEnd, atMs);
         },
         failed(atMs, failure) {
-          if (!allOpen.delete(open) || !isOfNow()) return;
-          if (failure === 'unreachable') noteUnreachable(group, serverId, atMs);
-          else noteFailure(group, serverId, atMs);
+          if (!allOpen.delete(open) || !startedAfterEjection()) return;
+          if (failure === 'unreachable') recordUnreachable(group, serverId, atMs);
+          else recordFailure(group, serverId, atMs);
         },
         abandoned(atMs) {
-          if (allOpen.delete(open) && isOfNow()) addTimes(addUnfinished, atMs);
+          if (allOpen.delete(open) && startedAfterEjection()) addTimes(recordUnfinished, atMs);
         },
       };
     },
--- a/src/core/outliers/record-tries.ts
+++ b/src/core/outliers/record-tries.ts
@@ -6,14 +6,14 @@
 
 type Step = TraceLineOf<'serverTry'>['step'];
 
-/** A tracker whose tries and ejections are recorded as they happen. */
+/** Creates a tracker that writes its attempts and ejections to the decision trace as they happen. */
 export function createRecordedOutlierTracker(
   options: () => OutlierOptions,
   onEjection: (ejection: Ejection) => void,
   record: DecisionRecorder,
 ): OutlierTracker {
   let ejections: Ejection[] = [];
-  let tries = 0;
+  let attempts = 0;
   const tracker = createOutlierTracker(options, (ejection) => {
     ejections.push(ejection);
     onEjection(ejection);
@@ -27,20 +27,20 @@
 
   return {
     begin(server, workUnits, nowMs) {
-      tries += 1;
-      const tryId = tries;
-      let lastMs = nowMs;
+      attempts += 1;
+      const tryId = attempts;
+      let lastStepAtMs = nowMs;
       const observed = tracker.begin(server, workUnits, nowMs);
       recordStep(tryId, nowMs, { kind: 'begin', ...server, workUnits });
       return {
         headReceived(atMs, isFailure) {
-          lastMs = atMs;
+          lastStepAtMs = atMs;
           observed.headReceived(atMs, isFailure);
           recordStep(tryId, atMs, { kind: 'head', isFailure });
         },
         partsReceived(count) {
           observed.partsReceived(count);
-          recordStep(tryId, lastMs, { kind: 'parts', count });
+          recordStep(tryId, lastStepAtMs, { kind: 'parts', count });
         },
         ended(atMs) {
           observed.ended(atMs);
--- a/src/core/outliers/types.ts
+++ b/src/core/outliers/types.ts
@@ -1,38 +1,40 @@
-/** A backend server and those it is compared with. */
+/** A backend server and the group that it is compared with. */
 export interface ObservedServer {
   readonly serverId: string;
-  /** Servers of one service in one region, which do the same work. */
+  /** Name of the group: the servers of one service in one region, which do the same work. */
   readonly group: string;
 }
 
-/** How a server is used. */
+/** Whether a server is in use, ejected, or returning with a reduced share of traffic. */
 export type EjectionState = 'inUse' | 'ejected' | 'returning';
 
-/** Why a server was ejected. */
+/** Reason why a server was ejected. */
 export type EjectionReason = 'failures' | 'slow' | 'unreachable';
 
-/** A server that was ejected, for the log. */
+/** Details of an ejection, for the log. */
 export interface Ejection {
   readonly serverId: string;
   readonly group: string;
   readonly reason: EjectionReason;
   readonly untilMs: number;
-  /** Ejections in a row, this one included. */
+  /** Number of consecutive ejections, including this one. */
   readonly ejections: number;
 }
 
-/** How a try failed: no connection could be made, or the answer was not whole. */
+/** How an attempt failed: no connection could be made, or the answer was incomplete. */
 export type TryFailure = 'unreachable' | 'broken';
 
-/** One try at a server. It ends with the end of its answer, with its failure, or by being abandoned. */
+/** One attempt at a server. It ends when its answer is complete, when it fails, or when it is abandoned. */
 export interface ObservedTry {
-  /** The head of an answer came; `isFailure` for a status that speaks of a broken server. */
+  /** Records the head of an answer; `isFailure` is true for a status that indicates a broken server. */
   headReceived(nowMs: number, isFailure: boolean): void;
-  /** Parts of the answer have come since the last call: chunks, or tokens where they are known. */
+  /**
+   * Records the parts of the answer received since the last call: chunks, or tokens if their number is known.
+   */
   partsReceived(count: number): void;
-  /** The answer is whole. */
+  /** Records that the answer is complete. */
   ended(nowMs: number): void;
   failed(nowMs: number, failure: TryFailure): void;
-  /** This side gave it up: its deadline passed or its caller has gone. */
+  /** Records that this side gave up: the deadline passed or the caller disconnected. */
   abandoned(nowMs: number): void;
 }
--- a/src/core/residency/index.ts
+++ b/src/core/residency/index.ts
@@ -1,11 +1,14 @@
 import type { Caller, CompiledConfiguration, Service } from '../configuration';
 
-/** Where data may be: the caller's regions and the service's, together, in the configuration in force. */
+/** Returns the regions in which a request's data may be: those that both its caller and its service allow. */
 export function allowedRegions(caller: Caller, service: Service): readonly string[] {
   return service.regions.filter((region) => caller.regions.includes(region));
 }
 
-/** Looks the caller and service up again, so that a tightened configuration binds work already waiting. */
+/**
+ * Returns the allowed regions by looking up the caller and service again, so that a stricter configuration
+ * also applies to requests that are already waiting.
+ */
 export function allowedRegionsNow(
   configuration: CompiledConfiguration,
   callerId: string,
--- a/src/core/retries/decide-retry.test.ts
+++ b/src/core/retries/decide-retry.test.ts
@@ -27,20 +27,20 @@
 const decide = (change: Partial<FailedTry>, hasBudget = true): RetryDecision =>
   decideRetry({ ...BASE, ...change }, OPTIONS, createSeededRandom(1), () => hasBudget);
 
-describe('a try that brought no answer', () => {
+describe('a failed attempt', () => {
   const refused = { kind: 'refusedByPeer', vouches: true } as const;
   const giveUps: { when: string; change: Partial<FailedTry>; reason: string; budget?: boolean }[] =
     [
-      { when: 'part of an answer has gone out', change: { headSent: true }, reason: 'head sent' },
-      { when: 'the caller has gone', change: { callerGone: true }, reason: 'caller gone' },
+      { when: 'part of an answer was sent', change: { headSent: true }, reason: 'head sent' },
+      { when: 'the caller has disconnected', change: { callerGone: true }, reason: 'caller gone' },
       { when: 'a peer forwarded it', change: { isForwarded: true }, reason: 'forwarded' },
-      { when: 'it may not repeat', change: { isRepeatable: false }, reason: 'not repeatable' },
+      { when: 'it is not repeatable', change: { isRepeatable: false }, reason: 'not repeatable' },
       {
-        when: 'two tries may have run',
+        when: 'two attempts may have run',
         change: { tries: 2, triesThatMayHaveRun: 2 },
         reason: 'may have run twice',
       },
-      { when: 'its tries are used up', change: { tries: 3 }, reason: 'tries used up' },
+      { when: 'all attempts are used up', change: { tries: 3 }, reason: 'tries used up' },
       {
         when: 'the deadline is too near',
         change: { deadlineAtMs: 1_005 },
@@ -48,18 +48,18 @@
       },
       { when: 'the budget is empty', change: {}, budget: false, reason: 'budget empty' },
       {
-        when: 'this instance itself had no room',
+        when: 'this instance itself had no capacity',
         change: { refusal: REFUSALS.overloaded, evidence: NEVER_SENT },
         reason: 'refusal is final',
       },
       {
-        when: 'a peer may not have the data',
+        when: 'the data must not be sent to the peer',
         change: { refusal: REFUSALS.regionNotAllowed, evidence: refused },
         reason: 'refusal is final',
       },
     ];
   for (const { when, change, reason, budget } of giveUps) {
-    it(`gets no other when ${when}`, () => {
+    it(`is not retried when ${when}`, () => {
       assert.deepEqual(decide(change, budget), { kind: 'giveUp', reason });
     });
   }
@@ -71,27 +71,27 @@
       change: { refusal: REFUSALS.overloaded, evidence: refused },
     },
     {
-      when: 'the server vouched that nothing ran',
+      when: 'the server confirmed that nothing ran',
       change: { evidence: { kind: 'refusedByServer', declaredNotRun: true } },
     },
   ];
   for (const { when, change } of atOnce) {
-    it(`goes elsewhere at once when ${when}`, () => {
+    it(`is retried elsewhere at once when ${when}`, () => {
       assert.deepEqual(decide(change), { kind: 'retry', atMs: 1_000, reason: 'did not run' });
     });
   }
 
-  // A server crashes with many requests open. If all of them were sent again in the same instant, the
-  // servers left would get the whole load of the lost one as one burst; users would see a second outage.
-  it('spreads requests that one crash cut off over a doubling pause', () => {
+  // A server crashes with many open requests. If all of them were retried at the same instant, the remaining
+  // servers would receive its whole load as one burst, and callers would see a second outage.
+  it('spreads requests interrupted by one crash over an exponential backoff', () => {
     const random = createSeededRandom(7);
-    const startsMs = (tries: number) =>
+    const delaysMs = (tries: number) =>
       Array.from({ length: 200 }, () => {
         const decision = decideRetry({ ...BASE, tries }, OPTIONS, random, () => true);
         return decision.kind === 'retry' ? decision.atMs - BASE.nowMs : Number.NaN;
       });
-    const first = startsMs(1);
-    const second = startsMs(2);
+    const first = delaysMs(1);
+    const second = delaysMs(2);
     assert.ok(Math.max(...first) <= OPTIONS.backoffBaseMs);
     assert.ok(new Set(first).size > 150);
     assert.ok(Math.max(...second) > OPTIONS.backoffBaseMs);
@@ -100,15 +100,15 @@
 });
 
 describe('a retry budget', () => {
-  // Every server of a service is down for minutes while callers keep asking. Each retry would be one more
-  // request in the way of the recovery; users would wait for a service that is kept down by the gateway.
-  it('is spent once in a total outage, however many requests fail', () => {
+  // Every server of a service is down for minutes while callers keep sending. Each retry would add load that
+  // delays the recovery, and the gateway itself would keep the service down.
+  it('is spent only once in a total outage, however many requests fail', () => {
     const budget = createRetryBudget(() => OPTIONS);
     const retries = Array.from({ length: 5_000 }, () => budget.tryTake('orders')).filter(Boolean);
     assert.equal(retries.length, OPTIONS.reserveTries);
   });
 
-  it('is filled by answers, up to its reserve, and for one service apart from others', () => {
+  it('is replenished by answers up to its reserve, separately for each service', () => {
     const budget = createRetryBudget(() => OPTIONS);
     while (budget.tryTake('orders'));
     for (let answer = 0; answer < 10; answer += 1) budget.answered('orders');
--- a/src/core/retries/decide-retry.ts
+++ b/src/core/retries/decide-retry.ts
@@ -5,22 +5,26 @@
 import type { FailedTry, GiveUpReason, RetryDecision } from './types';
 
 /**
- * Answers the loss of single servers, connections and peers: a request whose server has gone is answered by
- * another one. Done without bounds it makes the failure worse, so a try must pass each of these tests:
+ * Retries requests that failed because one server, connection or peer was lost, by sending them to another
+ * one. Unbounded retries would make the failure worse, so a retry must pass each of these checks:
  *
- * - Only work that may run twice is sent twice; anything else could book a cabin and a visa again.
- * - Nothing after the head: the caller would read two halves of different answers as one.
- * - Only the instance that the caller asked retries. If each hop made 3 tries, two hops would make 9.
- * - No third try after two that may have run: what has cost two servers is not shown a third.
- * - Never past the deadline; a caller that has hung up gets nothing for the work.
- * - Only inside the budget, and that is asked last so that no other refusal spends it.
+ * - Only requests that may run twice are sent twice; repeating a booking, for example, would book a cabin or a
+ *   visa twice.
+ * - No retry after the response head was sent: the caller would read parts of two answers as one.
+ * - Only the instance that received the request from the caller retries. If each hop made 3 attempts, two hops
+ *   would make 9.
+ * - No third attempt after two that may have run: a request that may have crashed two servers is not sent to a
+ *   third.
+ * - No retry past the deadline, and none for a caller that has disconnected, since nobody would receive the
+ *   answer.
+ * - Only within the retry budget, which is checked last so that no other reason to give up consumes it.
  *
- * Work that did not run goes elsewhere at once, since no server has spent anything on it. Work that may have
- * run waits for a random part of a doubling pause: without the jitter all requests that one crash cut off
- * would arrive together at the servers left.
+ * Requests that did not run are sent elsewhere at once, since no server has spent work on them. Requests that
+ * may have run wait for a random part of an exponential backoff: without this jitter, all requests interrupted
+ * by one crash would arrive at the remaining servers at the same time.
  */
 
-/** Refusals that another server or peer would repeat. */
+/** Refusals that any other server or peer would return as well. */
 const FINAL_REFUSALS: ReadonlySet<string> = new Set([
   REFUSALS.malformedRequest.slug,
   REFUSALS.unauthenticated.slug,
@@ -34,52 +38,55 @@
   REFUSALS.rateLimited.slug,
 ]);
 
-/** Failures to send that come from the other side, though nothing left this process. */
+/**
+ * Refusals caused by a failed connection to one server or peer: unlike other requests that were refused before
+ * sending, these may succeed at another server or peer.
+ */
 const CONNECTION_FAILURES: ReadonlySet<string> = new Set([
   REFUSALS.serverFailed.slug,
   REFUSALS.peerFailed.slug,
 ]);
 
-/** Bounds what one request costs where instances have not heard of each other's crashes yet. */
-const MOST_TRIES_THAT_MAY_HAVE_RUN = 2;
+/** Limits how many servers one request can crash before instances have learned of each other's crashes. */
+const MAX_ATTEMPTS_THAT_MAY_HAVE_RUN = 2;
 
-/** Time that a try needs at the least; a shorter one would only be cut off. */
-const LEAST_TRY_MS = 10;
+/** Minimum time for an attempt, ms; with less it would only be cut off by the deadline. */
+const MIN_ATTEMPT_MS = 10;
 
-function isWorthRetrying({ refusal, evidence }: FailedTry): boolean {
+function mayOtherTargetSucceed({ refusal, evidence }: FailedTry): boolean {
   if (FINAL_REFUSALS.has(refusal.slug)) return false;
-  // What this instance itself refused before sending, it would refuse again.
+  // A request that this instance refused before sending would be refused again.
   return evidence.kind !== 'neverSent' || CONNECTION_FAILURES.has(refusal.slug);
 }
 
-function whyNot(failed: FailedTry, options: RetryOptions): GiveUpReason | undefined {
+function reasonToGiveUp(failed: FailedTry, options: RetryOptions): GiveUpReason | undefined {
   if (failed.headSent) return 'head sent';
   if (failed.callerGone) return 'caller gone';
   if (failed.isForwarded) return 'forwarded';
   if (!failed.isRepeatable) return 'not repeatable';
-  if (!isWorthRetrying(failed)) return 'refusal is final';
-  if (failed.triesThatMayHaveRun >= MOST_TRIES_THAT_MAY_HAVE_RUN) return 'may have run twice';
+  if (!mayOtherTargetSucceed(failed)) return 'refusal is final';
+  if (failed.triesThatMayHaveRun >= MAX_ATTEMPTS_THAT_MAY_HAVE_RUN) return 'may have run twice';
   if (failed.tries >= options.mostTries) return 'tries used up';
   return undefined;
 }
 
-function pauseMs(tries: number, options: RetryOptions, random: RandomSource): number {
-  const longestMs = Math.min(options.backoffCapMs, options.backoffBaseMs * 2 ** (tries - 1));
-  return longestMs * random.next();
+function backoffMs(tries: number, options: RetryOptions, random: RandomSource): number {
+  const maxBackoffMs = Math.min(options.backoffCapMs, options.backoffBaseMs * 2 ** (tries - 1));
+  return maxBackoffMs * random.next();
 }
 
-/** Decides about another try. `takeFromBudget` is called only when all else allows one. */
+/** Decides whether and when to retry. `takeFromBudget` is called only if all other checks allow a retry. */
 export function decideRetry(
   failed: FailedTry,
   options: RetryOptions,
   random: RandomSource,
   takeFromBudget: () => boolean,
 ): RetryDecision {
-  const reason = whyNot(failed, options);
+  const reason = reasonToGiveUp(failed, options);
   if (reason !== undefined) return { kind: 'giveUp', reason };
   const didNotRun = judgeOutcome(failed.evidence) === 'notRun';
-  const atMs = failed.nowMs + (didNotRun ? 0 : pauseMs(failed.tries, options, random));
-  if (atMs + LEAST_TRY_MS > failed.deadlineAtMs) {
+  const atMs = failed.nowMs + (didNotRun ? 0 : backoffMs(failed.tries, options, random));
+  if (atMs + MIN_ATTEMPT_MS > failed.deadlineAtMs) {
     return { kind: 'giveUp', reason: 'deadline too near' };
   }
   if (!takeFromBudget()) return { kind: 'giveUp', reason: 'budget empty' };
--- a/src/core/retries/events.ts
+++ b/src/core/retries/events.ts
@@ -6,14 +6,14 @@
     id: 1300,
     name: 'request-retried',
     level: 'info',
-    text: 'A try brought no answer and the request is tried again elsewhere.',
-    action: 'None for a few; many that name one server or instance point to it.',
+    text: 'An attempt got no answer and the request is retried elsewhere.',
+    action: 'None for a few; if many name the same server or instance, check that one.',
   },
   gaveUp: {
     id: 1301,
     name: 'request-not-retried',
     level: 'info',
-    text: 'A try brought no answer and there is no further one.',
-    action: 'The reason says why; "budget empty" means that most requests of the service fail.',
+    text: 'An attempt got no answer and the request is not retried.',
+    action: 'See the reason field; "budget empty" means that most requests of the service fail.',
   },
 } as const satisfies Record<string, EventDefinition>;
--- a/src/core/retries/index.ts
+++ b/src/core/retries/index.ts
@@ -1,4 +1,4 @@
-/** Whether a request that failed is tried again. */
+/** Decides whether a failed request is retried. */
 export { decideRetry } from './decide-retry';
 export { RETRY_EVENTS } from './events';
 export { isRepeatable } from './repeatable';
--- a/src/core/retries/repeatable.test.ts
+++ b/src/core/retries/repeatable.test.ts
@@ -21,7 +21,7 @@
     { service: plain, method: 'GET', path: '/stock', expected: true },
     { service: plain, method: 'PUT', path: '/stock', expected: true },
     { service: plain, method: 'PUT', path: '/bookings/7', expected: false },
-    // A rule that an operator forgot to write must not double an order.
+    // A missing rule in the configuration must not lead to a duplicated order.
     { service: plain, method: 'POST', path: '/orders', expected: false },
   ];
   for (const { service, method, path, expected } of cases) {
--- a/src/core/retries/repeatable.ts
+++ b/src/core/retries/repeatable.ts
@@ -1,7 +1,7 @@
 import type { Service } from '../configuration';
 import { isNonRepeatable } from '../tickets';
 
-/** The parts of a request that tell whether it may run twice. */
+/** The parts of a request that determine whether it may run twice. */
 export interface RepeatableInput {
   readonly service: Service;
   readonly method: string;
@@ -12,11 +12,11 @@
 const IDEMPOTENT_METHODS = new Set(['GET', 'HEAD', 'OPTIONS', 'TRACE', 'PUT', 'DELETE']);
 
 /**
- * Whether a request may run more than once.
+ * Returns whether a request may run more than once.
  *
- * Answers of a model change nothing, so model requests may. Of a plain service, idempotent methods may
- * unless the configuration lists them. A POST may not, listed or not: an operator who forgot a rule would
- * otherwise learn of it from a doubled order.
+ * Model requests may, since computing an answer changes no state. Requests to a plain service may if their
+ * method is idempotent and the configuration does not list them as non-repeatable. A POST never may, listed or
+ * not: otherwise an operator who forgot a rule would find out through a duplicated order.
  */
 export function isRepeatable({ service, method, path }: RepeatableInput): boolean {
   switch (service.kind) {
--- a/src/core/retries/retry-budget.ts
+++ b/src/core/retries/retry-budget.ts
@@ -1,25 +1,29 @@
 import type { RetryOptions } from '../configuration';
 
 /**
- * Answers retry storms: when a service fails as a whole, each caller's request fails and every retry is one
- * more request to servers that already cannot cope. Without a budget, three tries a request keep a service
- * down that would have come back at its normal load; one notices requests at servers rising as answers fall.
+ * Limits retries per service to prevent retry storms. When a whole service fails, every request fails and each
+ * retry adds load to servers that are already overloaded. Without a budget, three attempts per request keep a
+ * service down that would recover at its normal load; the symptom is that requests at the servers rise while
+ * answers fall.
  *
- * Retries are paid for by answers, not by requests. During a total outage nothing is answered, so a service
- * has only its reserve to spend, however long the outage lasts. A budget paid by requests would go on
- * adding its share for as long as the outage lasts. The reserve lets a quiet service retry at all.
+ * The budget is replenished by answers, not by requests. During a total outage nothing is answered, so a
+ * service can spend only its reserve, however long the outage lasts. A budget replenished by requests would
+ * keep growing throughout the outage. The reserve allows a service with little traffic to retry at all.
  */
 export interface RetryBudget {
-  /** Notes that a request of `service` was answered. */
+  /** Adds the share that one answered request of `service` contributes to the budget. */
   answered(service: string): void;
-  /** Takes one retry out of the budget; false when there is none. */
+  /** Takes one retry from the budget; returns false if none remains. */
   tryTake(service: string): boolean;
 }
 
-/** Part of a retry that rounding may lose; ten answers at a share of 0.1 pay for one. */
-const ROUNDING = 1e-9;
+/** Tolerance for rounding errors in a balance: ten answers at a share of 0.1 pay for one retry. */
+const ROUNDING_TOLERANCE = 1e-9;
 
-/** A budget with full reserves. `options` is asked each time, so that a new version applies at once. */
+/**
+ * Creates a budget with full reserves. `options` is read on each call, so that a new configuration applies at
+ * once.
+ */
 export function createRetryBudget(options: () => RetryOptions): RetryBudget {
   const balances = new Map<string, number>();
   const balanceOf = (service: string) => balances.get(service) ?? options().reserveTries;
@@ -31,7 +35,7 @@
     },
     tryTake(service) {
       const balance = balanceOf(service);
-      if (balance < 1 - ROUNDING) return false;
+      if (balance < 1 - ROUNDING_TOLERANCE) return false;
       balances.set(service, balance - 1);
       return true;
     },
--- a/src/core/retries/types.ts
+++ b/src/core/retries/types.ts
@@ -1,25 +1,25 @@
 import type { Evidence } from '../outcomes';
 import type { RefusalDefinition } from '../refusals';
 
-/** A try that brought no answer, and all that decides about another. */
+/** A failed attempt and everything that the retry decision depends on. */
 export interface FailedTry {
-  /** Tries made so far, this one included. */
+  /** Number of attempts so far, including this one. */
   readonly tries: number;
-  /** Those of them that may have run. */
+  /** Number of those attempts that may have run. */
   readonly triesThatMayHaveRun: number;
   readonly refusal: RefusalDefinition;
   readonly evidence: Evidence;
   readonly isRepeatable: boolean;
-  /** Whether part of an answer has gone to the caller already. */
+  /** Whether part of an answer was already sent to the caller. */
   readonly headSent: boolean;
   readonly callerGone: boolean;
-  /** Forwarded requests are retried by the instance that the caller asked, and nowhere else. */
+  /** Whether a peer forwarded the request; only the instance that received it from the caller retries it. */
   readonly isForwarded: boolean;
   readonly nowMs: number;
   readonly deadlineAtMs: number;
 }
 
-/** Why a request gets no further try. */
+/** Reason why a request is not retried. */
 export type GiveUpReason =
   | 'head sent'
   | 'caller gone'
@@ -31,7 +31,7 @@
   | 'deadline too near'
   | 'budget empty';
 
-/** Whether and when to try again. */
+/** Whether and when a request is retried. */
 export type RetryDecision =
   | {
       readonly kind: 'retry';
--- a/src/core/routing/choose-route.ts
+++ b/src/core/routing/choose-route.ts
@@ -1,13 +1,16 @@
 import type { PeerCandidate, RoutingDecision, RoutingInput } from './types';
 
-/** How many of those not chosen a log line names. */
-const RUNNERS_UP_NAMED = 3;
+/** Maximum number of alternatives named in a decision. */
+const MAX_RUNNERS_UP = 3;
 
 function byPeerLoad(left: PeerCandidate, right: PeerCandidate): number {
   return left.inFlightRequests - right.inFlightRequests;
 }
 
-/** Chooses where a request goes: a server of this region, else an instance of another. */
+/**
+ * Chooses where a request goes: to a server of this region if possible, otherwise to an instance of another
+ * region.
+ */
 export function chooseRoute({ canServeHere, peers }: RoutingInput): RoutingDecision {
   if (canServeHere) return { kind: 'here' };
   const [peer, ...otherPeers] = [...peers].sort(byPeerLoad);
@@ -15,7 +18,7 @@
   return {
     kind: 'peer',
     peer,
-    runnersUp: otherPeers.slice(0, RUNNERS_UP_NAMED).map((other) => other.instanceId),
+    runnersUp: otherPeers.slice(0, MAX_RUNNERS_UP).map((other) => other.instanceId),
     reason: 'no server of this region may take it',
   };
 }
--- a/src/core/routing/choose-server.test.ts
+++ b/src/core/routing/choose-server.test.ts
@@ -46,7 +46,7 @@
   };
 }
 
-/** Puts requests of `units` onto a server. */
+/** Adds open requests of `units` to a server. */
 function load(pool: ServerPool, serverId: string, requests: number, units = 3_000) {
   const server = pool.get(serverId);
   if (server === undefined) throw new Error(`No ${serverId}`);
@@ -66,8 +66,8 @@
     assert.equal(choice?.prefillTokens, 500);
   });
 
-  // One prefix takes most of the load. If all of it went to the one engine that holds it, its callers would wait
-  // while the others stand idle.
+  // One prefix makes up most of the load. If all of it went to the one engine that holds it, its callers would
+  // wait while the other engines are idle.
   it('spreads a hot prefix once waiting for its holder costs more than computing it again', () => {
     const pool = createPool(20);
     const prefixIndex = createPrefixIndex();
@@ -77,7 +77,7 @@
     assert.notEqual(choice?.server.serverId, 'server-5');
   });
 
-  it('agrees with other instances on the first engine for an unknown prefix', () => {
+  it('chooses the same engine as other instances for an unknown prefix', () => {
     const homes = [1, 2, 3].map(
       (seed) =>
         chooseServer(inputFor(createPool(20), { random: createSeededRandom(seed) }))?.server
@@ -86,9 +86,9 @@
     assert.equal(new Set(homes).size, 1);
   });
 
-  // A report says that one engine is idle. Every instance reads it at the same time, and were it everyone's
-  // first choice it would be the fullest a moment later.
-  it('does not send everybody to the engine that last reported itself idle', () => {
+  // A report says that one engine is idle. All instances receive it at the same time; if each chose that
+  // engine, it would be the fullest a moment later.
+  it('does not send all requests to the engine that last reported itself idle', () => {
     const chosen = Array.from({ length: 60 }, (_unused, seed) => {
       const pool = createPool(60);
       pool.all().forEach((server) =>
@@ -104,7 +104,7 @@
     assert.ok(chosen.filter((serverId) => serverId === 'server-7').length < 15);
   });
 
-  it('goes to no server that may not be used or has no room', () => {
+  it('chooses no server that is unusable or has no capacity', () => {
     const pool = createPool(3);
     load(pool, 'server-0', 10);
     const mayUse = (serverId: string) => serverId !== 'server-1';
@@ -114,9 +114,9 @@
     assert.equal(chooseServer(inputFor(pool, { mayUse })), undefined);
   });
 
-  // Long floor plans and short questions reach the same engines. Each step of a batch with a plan in it takes ten
+  // Long floor plans and short questions share engines. Each step of a batch that contains a plan takes ten
   // times as long, so that a question that takes two seconds alone takes twenty.
-  it('keeps long prompts and short ones to their parts until they have waited', () => {
+  it('keeps long and short prompts in their partitions until they have waited', () => {
     const pool = createPool(10);
     const longPrompts = createLongPrompts();
     longPrompts.setServers(10);
@@ -147,7 +147,7 @@
       inputFor(pool, { kind: 'plain', random: createSeededRandom(seed), work: work(0, []) }),
     );
 
-  it('stays in the own failure domain while there is room, and leaves it when there is not', () => {
+  it('stays in its own failure domain while that has capacity, and leaves it otherwise', () => {
     const pool = createPool(6);
     for (let seed = 0; seed < 20; seed += 1) {
       assert.equal(plain(pool, seed)?.server.failureDomain, 'a');
@@ -158,9 +158,9 @@
 });
 
 describe('the prefix index', () => {
-  // An eviction is told half a second late; meanwhile the same prefix was sent to the engine again. Believing
-  // the old event would send the next request elsewhere and have the prefix computed once more.
-  it('passes over an eviction that is older than the last send', () => {
+  // An eviction event arrives half a second late, after the same prefix was sent to the engine again. Applying
+  // the old event would send the next request elsewhere and compute the prefix once more.
+  it('ignores an eviction that is older than the last send', () => {
     const index = createPrefixIndex();
     index.noteSent('server-1', [PREFIX], 1_000);
     index.noteEvent({ kind: 'evicted', serverId: 'server-1', key: PREFIX.key, atMs: 800 });
@@ -170,7 +170,7 @@
   });
 
   it('forgets a crashed server, old holders and the least recently used prefixes', () => {
-    const index = createPrefixIndex({ mostKeys: 2, holderLifetimeMs: 1_000 });
+    const index = createPrefixIndex({ maxKeys: 2, holderTtlMs: 1_000 });
     index.noteSent('server-1', [PREFIX], 0);
     index.noteSent('server-2', [PREFIX], 500);
     assert.equal(index.holders([PREFIX], 1_200).length, 1);
--- a/src/core/routing/choose-server.ts
+++ b/src/core/routing/choose-server.ts
@@ -7,7 +7,7 @@
 import type { ServerPool } from './server-pool';
 import type { ServerState } from './server-state';
 
-/** What the choice of a server rests on. */
+/** Input of `chooseServer`. */
 export interface ServerChoiceInput {
   readonly kind: 'engine' | 'plain';
   readonly pool: ServerPool;
@@ -17,13 +17,16 @@
   readonly ownFailureDomain: string;
   readonly random: RandomSource;
   readonly nowMs: number;
-  /** How long the request has waited here. */
+  /** Time that the request has waited on this instance, ms. */
   readonly waitedMs: number;
-  /** Whether the request may go there: not ejected, not leaving, not failed for it before. */
+  /**
+   * Returns whether the request may use the server: not ejected, not leaving, and no failed attempt of this
+   * request.
+   */
   readonly mayUse: (serverId: string) => boolean;
 }
 
-/** A server for a request. */
+/** The server chosen for a request. */
 export interface ServerChoice {
   readonly server: ServerState;
   /** Prompt tokens that the server will probably have to compute. */
@@ -40,75 +43,99 @@
   readonly cost: number;
 }
 
-/** Servers drawn at random in each of the two circles: two are nearly as good as all, one is far worse. */
-const DRAWN = 2;
+/**
+ * Number of servers sampled at random from the own failure domain and from all: two are nearly as good as all,
+ * one is far worse.
+ */
+const SAMPLE_SIZE = 2;
 
-/** Further draws when none of those drawn may be used, before the request counts as without a server. */
-const MOST_FURTHER_DRAWS = 8;
+/**
+ * Maximum number of random draws per sample; draws of unusable servers count too, so that a sample may stay
+ * incomplete.
+ */
+const MAX_DRAWS = 8;
 
-/** Servers on the ring that a prefix belongs to while nobody is known to hold it. */
-const HOMES_OF_PREFIX = 2;
+/**
+ * Number of servers on the hash ring that are the home of a prefix, considered while too few engines are known
+ * to hold it.
+ */
+const PREFIX_HOME_SERVERS = 2;
 
 /**
- * Chance that the home of a prefix holds it although this instance never sent it there: other instances
- * send their first request with it to the same home.
+ * Probability that the home of a prefix holds it although this instance never sent it there: other instances
+ * send their first request with this prefix to the same home.
  */
-const HOME_HOLDS_SHARE = 0.3;
+const HOME_CACHE_PROBABILITY = 0.3;
 
-/** Use above which servers of the own failure domain no longer come first for plain services. */
-const NEAR_USE_LIMIT = 0.8;
+/** Utilisation above which servers of the own failure domain are no longer preferred for plain services. */
+const MAX_LOCAL_UTILISATION = 0.8;
 
 /**
- * How much dearer a server of the other part is: it takes long prompts among short ones, or the reverse, only
- * when its own part is several times as loaded.
+ * Cost factor for servers of the other partition: such a server is used for long prompts among short
+ * ones, or the reverse, only if the own partition is several times as loaded.
  */
-const OTHER_PART_FACTOR = 8;
+const OTHER_PARTITION_COST_FACTOR = 8;
 
-/** How much dearer a server is that other instances may count to the other part. */
-const NEAR_LINE_FACTOR = 3;
+/** Cost factor for servers near the boundary, which other instances may assign to the other partition. */
+const NEAR_BOUNDARY_COST_FACTOR = 3;
 
-/** Waits after which work may go to the other part; a long prompt does more harm there. */
-const SHORT_PATIENCE_MS = 500;
-const LONG_PATIENCE_MS = 10_000;
+/** Time that a short prompt waits for its own partition before it may use the other one, ms. */
+const SHORT_PROMPT_DELAY_MS = 500;
+/** The same for a long prompt; longer, since it does more harm in the other partition. */
+const LONG_PROMPT_DELAY_MS = 10_000;
 
-/** Those not chosen that a decision names. */
-const RUNNERS_UP_NAMED = 3;
+/** Maximum number of alternatives named in a decision. */
+const MAX_RUNNERS_UP = 3;
 
 /**
- * What choosing a server costs the request, in prompt tokens computed: those waiting to be computed before it, its
- * own that are not cached, the slower steps of a fuller batch and the requests waiting in the server's own queue;
- * all of it more on a slow server.
+ * Estimates the cost of serving the request at this server, expressed as a number of prompt tokens to compute:
+ * the tokens to be computed before it, its own tokens that are not cached, and an equivalent for slower steps
+ * in a fuller batch and for requests in the server's own queue. All of it is multiplied by the factor by which
+ * the server is slowed down.
  */
-function costAt(server: ServerState, work: WorkEstimate, prefillTokens: number, nowMs: number) {
-  const sharing = work.units * (server.utilisation(nowMs) + server.reportedWaiting(nowMs));
-  return server.limit.stretch() * (server.pendingPrefillTokens() + prefillTokens + sharing);
+function estimateCost(
+  server: ServerState,
+  work: WorkEstimate,
+  prefillTokens: number,
+  nowMs: number,
+) {
+  const batchCost = work.units * (server.utilisation(nowMs) + server.reportedWaiting(nowMs));
+  return server.limit.stretch() * (server.pendingPrefillTokens() + prefillTokens + batchCost);
 }
 
 /**
- * Work goes to the other part only after it has waited in vain for its own: a little waiting costs less than
- * sharing steps with a long prompt, and a wrong division must not leave servers idle for long.
+ * Returns whether the request may use the other partition: only after it has waited in vain for its own. A
+ * short wait costs less than sharing steps with a long prompt, but a wrong partitioning must not leave servers
+ * idle for long.
  */
-function mayCross({ longPrompts, work, waitedMs }: ServerChoiceInput): boolean {
-  return waitedMs > (longPrompts.isLong(work) ? LONG_PATIENCE_MS : SHORT_PATIENCE_MS);
+function mayUseOtherPartition({ longPrompts, work, waitedMs }: ServerChoiceInput): boolean {
+  return waitedMs > (longPrompts.isLong(work) ? LONG_PROMPT_DELAY_MS : SHORT_PROMPT_DELAY_MS);
 }
 
-function partFactor(server: ServerState, { longPrompts, work }: ServerChoiceInput): number {
-  if (!longPrompts.isFor(server.place(), work)) return OTHER_PART_FACTOR;
-  return longPrompts.isNearLine(server.place()) ? NEAR_LINE_FACTOR : 1;
+function partitionCostFactor(
+  server: ServerState,
+  { longPrompts, work }: ServerChoiceInput,
+): number {
+  if (!longPrompts.matches(server.hashRank(), work)) return OTHER_PARTITION_COST_FACTOR;
+  return longPrompts.isNearBoundary(server.hashRank()) ? NEAR_BOUNDARY_COST_FACTOR : 1;
 }
 
-function draw(set: DenseSet<ServerState>, input: ServerChoiceInput, count: number): ServerState[] {
+function sample(
+  set: DenseSet<ServerState>,
+  input: ServerChoiceInput,
+  count: number,
+): ServerState[] {
   const { random, mayUse, longPrompts, work } = input;
   const drawn: ServerState[] = [];
-  let otherPart: ServerState | undefined;
-  const draws = Math.min(set.size(), MOST_FURTHER_DRAWS);
+  let fallback: ServerState | undefined;
+  const draws = Math.min(set.size(), MAX_DRAWS);
   for (let index = 0; index < draws && drawn.length < count; index += 1) {
     const server = set.at(pickIndex(random, set.size()));
     if (drawn.includes(server) || !mayUse(server.serverId)) continue;
-    if (longPrompts.isFor(server.place(), work)) drawn.push(server);
-    else if (mayCross(input)) otherPart ??= server;
+    if (longPrompts.matches(server.hashRank(), work)) drawn.push(server);
+    else if (mayUseOtherPartition(input)) fallback ??= server;
   }
-  if (drawn.length === 0 && otherPart !== undefined) drawn.push(otherPart);
+  if (drawn.length === 0 && fallback !== undefined) drawn.push(fallback);
   return drawn;
 }
 
@@ -123,26 +150,27 @@
     runnersUp: candidates
       .filter((candidate) => candidate !== best)
       .sort((left, right) => left.cost - right.cost)
-      .slice(0, RUNNERS_UP_NAMED)
+      .slice(0, MAX_RUNNERS_UP)
       .map(({ server }) => server.serverId),
   };
 }
 
 /**
- * Chooses an engine by what is probably cached and by work in flight.
+ * Chooses an engine by the prefixes that are probably cached and by the work in flight.
+ *
+ * Choosing by the fewest requests in flight alone spreads each prefix over all engines, so that each computes
+ * and stores it and has no capacity for others. Affinity alone sends a hot prefix to one engine until that one
+ * falls behind. The cost combines both in one unit, so that a prefix spreads to one more engine exactly when
+ * waiting for its holders costs more than computing it again.
  *
- * It answers shared prefixes and lagging reports. Least in flight alone spreads each prefix over all engines, so
- * that each computes and stores it and none has room for the others; affinity alone sends a hot
- * prefix to one engine until that falls behind. The cost weighs both in the same unit, so that a prefix spreads to
- * one more engine exactly when waiting for its holders costs more than computing it again. A few servers
- * drawn at random stand beside the holders: of those that last reported themselves idle each instance draws
- * others, and they don't all go to the same one.
+ * Load reports lag behind, so a few servers sampled at random are considered beside the holders: each instance
+ * samples different ones of those that last reported themselves idle, and they do not all choose the same one.
  */
 function chooseEngine(input: ServerChoiceInput): ServerChoice | undefined {
   const { pool, prefixIndex, longPrompts, work, nowMs, mayUse, ownFailureDomain } = input;
   const candidates: Candidate[] = [];
 
-  const consider = (
+  const tryAdd = (
     server: ServerState | undefined,
     cachedTokens: number,
     reason: ServerChoice['reason'],
@@ -150,31 +178,33 @@
     if (server === undefined || !server.limit.hasRoom() || !mayUse(server.serverId)) return;
     if (candidates.some((candidate) => candidate.server === server)) return;
     const prefillTokens = Math.max(0, work.promptTokens - cachedTokens);
-    const isOwnPart = longPrompts.isFor(server.place(), work);
-    if (!isOwnPart && !mayCross(input)) return;
-    const cost = partFactor(server, input) * costAt(server, work, prefillTokens, nowMs);
+    const isOwnPartition = longPrompts.matches(server.hashRank(), work);
+    if (!isOwnPartition && !mayUseOtherPartition(input)) return;
+    const cost =
+      partitionCostFactor(server, input) * estimateCost(server, work, prefillTokens, nowMs);
     candidates.push({ server, reason, prefillTokens, cost });
   };
 
   const holders = prefixIndex.holders(work.prefixes, nowMs);
-  for (const { serverId, tokens } of holders) consider(pool.get(serverId), tokens, 'holds-prefix');
-  const longest = work.prefixes.at(-1);
-  if (longest !== undefined && holders.length < HOMES_OF_PREFIX) {
-    for (const home of pool.ring().after(longest.key, HOMES_OF_PREFIX)) {
-      consider(home, HOME_HOLDS_SHARE * longest.tokens, 'home-of-prefix');
+  for (const { serverId, tokens } of holders) tryAdd(pool.get(serverId), tokens, 'holds-prefix');
+  const longestPrefix = work.prefixes.at(-1);
+  if (longestPrefix !== undefined && holders.length < PREFIX_HOME_SERVERS) {
+    for (const home of pool.ring().after(longestPrefix.key, PREFIX_HOME_SERVERS)) {
+      tryAdd(home, HOME_CACHE_PROBABILITY * longestPrefix.tokens, 'home-of-prefix');
     }
   }
-  for (const server of draw(pool.roomyIn(ownFailureDomain), input, DRAWN)) {
-    consider(server, 0, 'near-least-work');
+  for (const server of sample(pool.availableIn(ownFailureDomain), input, SAMPLE_SIZE)) {
+    tryAdd(server, 0, 'near-least-work');
   }
-  for (const server of draw(pool.roomy(), input, DRAWN)) consider(server, 0, 'least-work');
+  for (const server of sample(pool.roomy(), input, SAMPLE_SIZE)) tryAdd(server, 0, 'least-work');
   return toChoice(candidates);
 }
 
 /**
- * Chooses a plain server: the less loaded of two drawn from the own failure domain, and of two from all when
- * those near are nearly full. Two choices keep the fullest server close to the mean, where always the least
- * loaded would send every instance's calls to the same one between two reports.
+ * Chooses a plain server: the less loaded of two sampled from the own failure domain; if those are nearly
+ * full, two sampled from all servers are considered too. Two choices keep the load of the fullest server close
+ * to the mean, whereas always choosing the least loaded one would send the calls of all instances to the same
+ * server between two reports.
  */
 function choosePlain(input: ServerChoiceInput): ServerChoice | undefined {
   const { pool, work, nowMs, ownFailureDomain } = input;
@@ -184,39 +214,44 @@
       server,
       reason,
       prefillTokens: 0,
-      cost: costAt(server, work, 0, nowMs),
+      cost: estimateCost(server, work, 0, nowMs),
     });
-  const near = draw(pool.roomyIn(ownFailureDomain), input, DRAWN).map(
+  const near = sample(pool.availableIn(ownFailureDomain), input, SAMPLE_SIZE).map(
     toCandidate('near-least-work'),
   );
-  const hasNearRoom = near.some(({ server }) => server.utilisation(nowMs) < NEAR_USE_LIMIT);
-  if (hasNearRoom) return toChoice(near);
-  const anywhere = draw(pool.roomy(), input, DRAWN).map(toCandidate('least-work'));
+  const hasLocalCapacity = near.some(
+    ({ server }) => server.utilisation(nowMs) < MAX_LOCAL_UTILISATION,
+  );
+  if (hasLocalCapacity) return toChoice(near);
+  const anywhere = sample(pool.roomy(), input, SAMPLE_SIZE).map(toCandidate('least-work'));
   return toChoice([...near, ...anywhere]);
 }
 
 /**
- * A server for a request of a caller that uses less than its fair part, for which the limits give way by one request.
+ * Chooses a server for a request of a caller that uses less than its fair share; for it, the limits may be
+ * exceeded by one request.
  *
- * It answers a few heavy callers. They keep every limit used, and a light caller's request would wait for the next
- * of this instance's own requests to end, which with many instances and servers is far longer than the
- * server itself would have it wait.
+ * Protects light callers from a few heavy ones, which keep every limit used. Otherwise a light caller's
+ * request would wait for the next of this instance's own requests to end. With many instances and servers,
+ * that takes far longer than the wait at the server itself.
  */
 export function chooseSparseServer(input: ServerChoiceInput): ServerChoice | undefined {
   const { pool, work, nowMs, random, mayUse, longPrompts } = input;
   const servers = pool.all();
   const candidates: Candidate[] = [];
-  for (let index = 0; index < MOST_FURTHER_DRAWS && candidates.length < 2 * DRAWN; index += 1) {
+  for (let index = 0; index < MAX_DRAWS && candidates.length < 2 * SAMPLE_SIZE; index += 1) {
     const server = servers[pickIndex(random, servers.length)];
     if (server === undefined || !server.limit.hasSparseRoom()) continue;
-    if (!mayUse(server.serverId) || !longPrompts.isFor(server.place(), work)) continue;
-    const cost = costAt(server, work, work.promptTokens, nowMs);
+    if (!mayUse(server.serverId) || !longPrompts.matches(server.hashRank(), work)) continue;
+    const cost = estimateCost(server, work, work.promptTokens, nowMs);
     candidates.push({ server, reason: 'sparse-caller', prefillTokens: work.promptTokens, cost });
   }
   return toChoice(candidates);
 }
 
-/** Chooses a server with room for a request; undefined when none of those looked at may take it now. */
+/**
+ * Chooses a server with capacity for a request; returns undefined if none of those considered may take it now.
+ */
 export function chooseServer(input: ServerChoiceInput): ServerChoice | undefined {
   switch (input.kind) {
     case 'engine':
--- a/src/core/routing/dense-set.ts
+++ b/src/core/routing/dense-set.ts
@@ -1,4 +1,4 @@
-/** A set from which any member can be drawn in O(1), whatever its size. */
+/** A set with random access to its members in O(1), so that a random member can be drawn. */
 export interface DenseSet<Item> {
   size(): number;
   at(index: number): Item;
@@ -7,7 +7,7 @@
   delete(item: Item): void;
 }
 
-/** An empty set. */
+/** Creates an empty set. */
 export function createDenseSet<Item>(): DenseSet<Item> {
   const items: Item[] = [];
   const positions = new Map<Item, number>();
--- a/src/core/routing/events.ts
+++ b/src/core/routing/events.ts
@@ -1,6 +1,6 @@
 import type { EventDefinition } from '../events';
 
-/** Events 300 to 399: where requests go. */
+/** Events 300 to 399: routing. */
 export const ROUTING_EVENTS = {
   routed: {
     id: 300,
@@ -13,7 +13,7 @@
     id: 301,
     name: 'request-without-route',
     level: 'warn',
-    text: 'A request could be routed nowhere.',
-    action: 'Look whether the service has servers in a region that the caller may use.',
+    text: 'No route was found for a request.',
+    action: 'Check whether the service has servers in a region that the caller may use.',
   },
 } as const satisfies Record<string, EventDefinition>;
--- a/src/core/routing/hash-ring.ts
+++ b/src/core/routing/hash-ring.ts
@@ -1,34 +1,34 @@
 import { hashText } from '../hashing';
 
-/** A consistent-hash ring: instances that never speak about a key still choose the same servers for it. */
+/** A consistent-hash ring: instances choose the same servers for a key without communicating. */
 export interface HashRing<Item> {
-  /** The first `count` different items after the key's place. */
+  /** Returns the first `count` distinct items after the hash of the key. */
   after(key: string, count: number): readonly Item[];
 }
 
-/** Places of each item on the ring: the share of keys of two items then differs by a fifth or so. */
-const PLACES_PER_ITEM = 16;
+/** Points of each item on the ring; with 16, the shares of keys of two items differ by about a fifth. */
+const POINTS_PER_ITEM = 16;
 
-/** A ring of `items`; costs O(n log n), so it is made once a configuration. */
+/** Creates a ring of `items`. Costs O(n log n), so it is created only once per configuration. */
 export function createHashRing<Item>(
   items: readonly Item[],
   nameOf: (item: Item) => string,
 ): HashRing<Item> {
-  const places = items
+  const points = items
     .flatMap((item) =>
-      Array.from({ length: PLACES_PER_ITEM }, (_unused, place) => ({
+      Array.from({ length: POINTS_PER_ITEM }, (_unused, point) => ({
         item,
-        hash: hashText(`${nameOf(item)}#${place}`),
+        hash: hashText(`${nameOf(item)}#${point}`),
       })),
     )
     .sort((left, right) => left.hash - right.hash);
 
-  const firstFrom = (hash: number): number => {
+  const firstPointAtOrAfter = (hash: number): number => {
     let low = 0;
-    let high = places.length;
+    let high = points.length;
     while (low < high) {
       const middle = Math.floor((low + high) / 2);
-      if ((places[middle]?.hash ?? 0) < hash) low = middle + 1;
+      if ((points[middle]?.hash ?? 0) < hash) low = middle + 1;
       else high = middle;
     }
     return low;
@@ -37,10 +37,10 @@
   return {
     after(key, count) {
       const found: Item[] = [];
-      const start = firstFrom(hashText(key));
-      for (let step = 0; step < places.length && found.length < count; step += 1) {
-        const place = places[(start + step) % places.length];
-        if (place !== undefined && !found.includes(place.item)) found.push(place.item);
+      const start = firstPointAtOrAfter(hashText(key));
+      for (let step = 0; step < points.length && found.length < count; step += 1) {
+        const point = points[(start + step) % points.length];
+        if (point !== undefined && !found.includes(point.item)) found.push(point.item);
       }
       return found;
     },
--- a/src/core/routing/index.ts
+++ b/src/core/routing/index.ts
@@ -1,4 +1,4 @@
-/** Which server, or which other region, gets a request. */
+/** Chooses the server or the other region that gets a request. */
 export { chooseRoute } from './choose-route';
 export { chooseServer, chooseSparseServer } from './choose-server';
 export type { ServerChoice, ServerChoiceInput } from './choose-server';
--- a/src/core/routing/prefix-index.ts
+++ b/src/core/routing/prefix-index.ts
@@ -1,61 +1,67 @@
 import type { PrefixBlock } from '../work';
 
-/** Which engines probably hold which prompt prefixes. */
+/** Index of the engines that probably hold a prompt prefix in their cache. */
 export interface PrefixIndex {
-  /** Engines that probably hold a part of the prompt, with the tokens that each holds; a few at most. */
+  /**
+   * Returns engines that probably hold a part of the prompt, and the number of tokens that each holds; at most
+   * a few.
+   */
   holders(prefixes: readonly PrefixBlock[], nowMs: number): readonly PrefixHolder[];
-  /** A prompt was sent to the engine, which will hold its prefixes. */
+  /** Records that a prompt was sent to the engine, which will then hold its prefixes. */
   noteSent(serverId: string, prefixes: readonly PrefixBlock[], nowMs: number): void;
-  /** The engine said at `atMs` that it holds the prefix, or holds it no more. */
+  /** Applies an event that the engine published: at `atMs` it stored or evicted the prefix. */
   noteEvent(event: PrefixEvent): void;
-  /** The engine has lost its cache. */
+  /** Removes an engine that has lost its cache. */
   forgetServer(serverId: string): void;
   size(): number;
 }
 
-/** An engine and how much of a prompt it probably holds. */
+/** An engine and the number of prompt tokens that it probably holds. */
 export interface PrefixHolder {
   readonly serverId: string;
   readonly tokens: number;
 }
 
-/** A cache event as an engine published it; it comes late, and some never come. */
+/** A cache event published by an engine; events arrive late, and some are lost. */
 export interface PrefixEvent {
   readonly kind: 'stored' | 'evicted';
   readonly serverId: string;
   readonly key: string;
-  /** When the engine did it, on the clock of this process. */
+  /** Time of the change, on the clock of this process. */
   readonly atMs: number;
 }
 
-/** Bounds of an index. */
+/** Limits of a prefix index. */
 export interface PrefixIndexOptions {
-  /** Most prefixes kept; the least recently used go first. */
-  readonly mostKeys: number;
-  /** A holder that nobody confirmed for this long counts as one no more. */
-  readonly holderLifetimeMs: number;
+  /** Maximum number of prefixes; the least recently used are evicted first. */
+  readonly maxKeys: number;
+  /** TTL of a holder that is not confirmed again, ms. */
+  readonly holderTtlMs: number;
 }
 
-/** Holders named for one request, so that a prefix held everywhere does not make a decision scan the fleet. */
-const MOST_HOLDERS = 6;
+/**
+ * Maximum number of holders returned for one request, so that a prefix held everywhere does not make a
+ * decision scan the fleet.
+ */
+const MAX_HOLDERS = 6;
 
-/** About 250 bytes a prefix: 5 MB in all, of the 32 MB that control may take. */
+/** Default limits: about 250 bytes per prefix, 5 MB in total, of the 32 MB that all control code may use. */
 export const PREFIX_INDEX_DEFAULTS: PrefixIndexOptions = {
-  mostKeys: 20_000,
-  holderLifetimeMs: 600_000,
+  maxKeys: 20_000,
+  holderTtlMs: 600_000,
 };
 
 /**
- * An index that learns from this instance's own routing at once and from cache events as they come.
+ * Creates an index that is updated by this instance's own routing at once and by cache events as they arrive.
  *
- * An event is older than what this instance did since: an eviction told of before the last send of that prefix
- * is passed over, since the send has stored it again. Lost events leave an entry wrong until its
- * lifetime ends; what that costs is one prompt computed again.
+ * An event may be older than what this instance has done since: an eviction from before the last send of its
+ * prefix is ignored, since that send stored the prefix again. A lost event leaves a wrong entry until its TTL
+ * ends, which costs computing one prompt again.
  */
 export function createPrefixIndex(
   options: PrefixIndexOptions = PREFIX_INDEX_DEFAULTS,
 ): PrefixIndex {
-  /** Of each prefix, the engines and when each was last known to hold it. */
+  /** Maps each prefix to its engines and the time at which each was last known to hold it. */
   const holdersByKey = new Map<string, Map<string, number>>();
 
   const touch = (key: string): Map<string, number> => {
@@ -67,14 +73,14 @@
     }
     const fresh = new Map<string, number>();
     holdersByKey.set(key, fresh);
-    if (holdersByKey.size > options.mostKeys) {
+    if (holdersByKey.size > options.maxKeys) {
       const [oldest] = holdersByKey.keys();
       if (oldest !== undefined) holdersByKey.delete(oldest);
     }
     return fresh;
   };
 
-  const noteHolder = (key: string, serverId: string, atMs: number) => {
+  const recordHolder = (key: string, serverId: string, atMs: number) => {
     const holders = touch(key);
     const knownAtMs = holders.get(serverId) ?? Number.NEGATIVE_INFINITY;
     holders.delete(serverId);
@@ -87,20 +93,20 @@
       for (let level = prefixes.length - 1; level >= 0; level -= 1) {
         const { key, tokens } = prefixes[level] as PrefixBlock;
         for (const [serverId, atMs] of holdersByKey.get(key) ?? []) {
-          if (found.length >= MOST_HOLDERS) return found;
+          if (found.length >= MAX_HOLDERS) return found;
           const isKnown = found.some((holder) => holder.serverId === serverId);
-          const isFresh = nowMs - atMs < options.holderLifetimeMs;
+          const isFresh = nowMs - atMs < options.holderTtlMs;
           if (isFresh && !isKnown) found.push({ serverId, tokens });
         }
       }
       return found;
     },
     noteSent(serverId, prefixes, nowMs) {
-      for (const { key } of prefixes) noteHolder(key, serverId, nowMs);
+      for (const { key } of prefixes) recordHolder(key, serverId, nowMs);
     },
     noteEvent({ kind, serverId, key, atMs }) {
       if (kind === 'stored') {
-        noteHolder(key, serverId, atMs);
+        recordHolder(key, serverId, atMs);
         return;
       }
       const holders = holdersByKey.get(key);
--- a/src/core/routing/server-pool.ts
+++ b/src/core/routing/server-pool.ts
@@ -7,45 +7,48 @@
 import { createServerState } from './server-state';
 import type { PoolServer, ServerState } from './server-state';
 
-/** The servers of one service in this region, indexed so that a decision need not look at all of them. */
+/** The servers of one service in this region, indexed so that a decision need not scan all of them. */
 export interface ServerPool {
   all(): readonly ServerState[];
   get(serverId: string): ServerState | undefined;
-  /** Servers that may be given more work. */
+  /** Servers that have capacity for more work. */
   roomy(): DenseSet<ServerState>;
-  roomyIn(failureDomain: string): DenseSet<ServerState>;
+  availableIn(failureDomain: string): DenseSet<ServerState>;
   ring(): HashRing<ServerState>;
-  /** Files a server anew after its load or its limit has changed. */
+  /** Updates the index after the load or limit of a server has changed. */
   refresh(server: ServerState): void;
-  /** Takes over a new list of servers; those that stay keep what was learned of them. */
+  /** Replaces the list of servers; unchanged servers keep their state. */
   replace(servers: readonly PoolServer[]): void;
-  /** Work that may be in flight at all of them together. */
+  /** Returns the sum of the limits of all servers, in work units. */
   limitUnits(): number;
 }
 
-/** Gives each server its place: by hash, so that no instance has to ask another and domains are mixed. */
-function placeAll(servers: readonly ServerState[]): void {
-  const inOrder = [...servers].sort(
+/**
+ * Ranks the servers in the order of the hash of their ids, from 0 to less than 1, so that all instances agree
+ * without communicating and failure domains are mixed.
+ */
+function assignHashRanks(servers: readonly ServerState[]): void {
+  const sortedByHash = [...servers].sort(
     (left, right) => hashText(left.serverId) - hashText(right.serverId),
   );
-  inOrder.forEach((server, index) => server.setPlace(index / inOrder.length));
+  sortedByHash.forEach((server, index) => server.setHashRank(index / sortedByHash.length));
 }
 
-/** An empty pool; `createLimit` makes the limit of a server that is new. */
+/** Creates an empty pool; `createLimit` creates the limit of a new server. */
 export function createServerPool(createLimit: () => AdaptiveLimit): ServerPool {
   let states = new Map<string, ServerState>();
   let list: readonly ServerState[] = [];
   let ring: HashRing<ServerState> = createHashRing([], () => '');
-  let roomy = createDenseSet<ServerState>();
-  let roomyByDomain = new Map<string, DenseSet<ServerState>>();
+  let available = createDenseSet<ServerState>();
+  let availableByDomain = new Map<string, DenseSet<ServerState>>();
   let limitSum = 0;
   let countedLimits = new Map<ServerState, number>();
 
   const domainSet = (failureDomain: string): DenseSet<ServerState> => {
-    const known = roomyByDomain.get(failureDomain);
+    const known = availableByDomain.get(failureDomain);
     if (known !== undefined) return known;
     const fresh = createDenseSet<ServerState>();
-    roomyByDomain.set(failureDomain, fresh);
+    availableByDomain.set(failureDomain, fresh);
     return fresh;
   };
 
@@ -55,10 +58,10 @@
     limitSum += limitUnits - (countedLimits.get(server) ?? 0);
     countedLimits.set(server, limitUnits);
     if (server.limit.hasRoom()) {
-      roomy.add(server);
+      available.add(server);
       domainSet(server.failureDomain).add(server);
     } else {
-      roomy.delete(server);
+      available.delete(server);
       domainSet(server.failureDomain).delete(server);
     }
   };
@@ -66,12 +69,12 @@
   return {
     all: () => list,
     get: (serverId) => states.get(serverId),
-    roomy: () => roomy,
-    roomyIn: domainSet,
+    roomy: () => available,
+    availableIn: domainSet,
     ring: () => ring,
     refresh,
     replace(servers) {
-      const kept = (server: PoolServer): ServerState => {
+      const reuseOrCreate = (server: PoolServer): ServerState => {
         const known = states.get(server.serverId);
         const isSame =
           known !== undefined &&
@@ -79,12 +82,12 @@
           known.failureDomain === server.failureDomain;
         return isSame ? known : createServerState(server, createLimit());
       };
-      list = servers.map(kept);
-      placeAll(list);
+      list = servers.map(reuseOrCreate);
+      assignHashRanks(list);
       states = new Map(list.map((state) => [state.serverId, state]));
       ring = createHashRing(list, ({ serverId }) => serverId);
-      roomy = createDenseSet();
-      roomyByDomain = new Map();
+      available = createDenseSet();
+      availableByDomain = new Map();
       countedLimits = new Map();
       limitSum = 0;
       list.forEach(refresh);
--- a/src/core/routing/server-state.ts
+++ b/src/core/routing/server-state.ts
@@ -1,8 +1,8 @@
 import type { AdaptiveLimit } from '../admission';
 
-/** Load as a server last reported it. */
+/** Load that a server last reported. */
 export interface ServerReport {
-  /** When it was true, on the clock of this process. */
+  /** Time of the reported load, on the clock of this process. */
   readonly atMs: number;
   readonly runningRequests: number;
   readonly waitingRequests: number;
@@ -16,45 +16,47 @@
   readonly prefillTokens: number;
 }
 
-/** A server as this instance uses it. */
+/** State of a server as this instance knows it. */
 export interface ServerState {
   readonly serverId: string;
   readonly address: string;
   readonly failureDomain: string;
   readonly limit: AdaptiveLimit;
-  /** Place among the pool's servers in an order that all instances share, 0 up to 1. */
-  place(): number;
-  setPlace(place: number): void;
-  /** Prompt tokens sent there whose computing has not shown its end by a first byte. */
+  /** Rank among the servers of the pool in the hash order that all instances share, from 0 to less than 1. */
+  hashRank(): number;
+  setHashRank(hashRank: number): void;
+  /** Prompt tokens that the server has to compute for requests whose answer has not begun yet. */
   pendingPrefillTokens(): number;
-  /** Estimated share of the server that is in use, by this instance and by others. */
+  /** Estimated utilisation of the server, by this instance and others. */
   utilisation(nowMs: number): number;
-  /** Requests that the server itself reported as waiting; counts for less the older the report. */
+  /** Number of requests that the server reported as waiting, reduced by the age of the report. */
   reportedWaiting(nowMs: number): number;
+  /** Adds the work of a request that is sent to the server. */
   begin(work: OpenWork): void;
+  /** Records that the answer has begun, which means that the prompt was computed. */
   firstByte(work: OpenWork): void;
-  /** Ends the accounts of `begin`; the limit is told apart. */
+  /** Removes work added by `begin`; the limit must be updated separately. */
   end(work: OpenWork): void;
   noteReport(report: ServerReport): void;
   lastReport(): ServerReport | undefined;
 }
 
-/** What is known of a server from its configuration. */
+/** Properties of a server from the configuration. */
 export interface PoolServer {
   readonly serverId: string;
   readonly address: string;
   readonly failureDomain: string;
 }
 
-/** A report counts for less the older it is, and for nothing after this. */
-const REPORT_LIFETIME_MS = 5_000;
+/** TTL of a report, ms; its weight decreases to 0 over this time. */
+const REPORT_TTL_MS = 5_000;
 
-/** A server with nothing open. */
+/** Creates the state of a server without open work. */
 export function createServerState(server: PoolServer, limit: AdaptiveLimit): ServerState {
   const open = new Set<OpenWork>();
   const inPrefill = new Set<OpenWork>();
   let pendingPrefillTokens = 0;
-  let place = 0;
+  let hashRank = 0;
   let report: ServerReport | undefined;
   let otherRequests = 0;
 
@@ -62,23 +64,23 @@
     if (inPrefill.delete(work)) pendingPrefillTokens -= work.prefillTokens;
   };
 
-  /** 1 for a report of this moment, 0 for one that says nothing any more. */
+  /** Returns the weight of the last report, from 1 (just made) to 0 (expired). */
   const freshness = (nowMs: number): number =>
-    report === undefined ? 0 : Math.max(0, 1 - (nowMs - report.atMs) / REPORT_LIFETIME_MS);
+    report === undefined ? 0 : Math.max(0, 1 - (nowMs - report.atMs) / REPORT_TTL_MS);
 
-  const othersUnits = (nowMs: number): number =>
+  const otherInstancesUnits = (nowMs: number): number =>
     freshness(nowMs) * otherRequests * limit.meanRequestUnits();
 
   return {
     ...server,
     limit,
-    place: () => place,
-    setPlace(next) {
-      place = next;
+    hashRank: () => hashRank,
+    setHashRank(next) {
+      hashRank = next;
     },
     pendingPrefillTokens: () => pendingPrefillTokens,
     utilisation(nowMs) {
-      const others = othersUnits(nowMs);
+      const others = otherInstancesUnits(nowMs);
       return (limit.inFlightUnits() + others) / (limit.limitUnits() + others);
     },
     reportedWaiting: (nowMs) => freshness(nowMs) * (report?.waitingRequests ?? 0),
@@ -95,10 +97,10 @@
     noteReport(received) {
       if (report !== undefined && received.atMs < report.atMs) return;
       report = received;
-      let ownThen = 0;
-      for (const work of open) if (work.begunAtMs <= received.atMs) ownThen += 1;
+      let ownAtReport = 0;
+      for (const work of open) if (work.begunAtMs <= received.atMs) ownAtReport += 1;
       const reported = received.runningRequests + received.waitingRequests;
-      otherRequests = Math.max(0, reported - ownThen);
+      otherRequests = Math.max(0, reported - ownAtReport);
     },
     lastReport: () => report,
   };
--- a/src/core/routing/types.ts
+++ b/src/core/routing/types.ts
@@ -6,17 +6,17 @@
   readonly inFlightRequests: number;
 }
 
-/** What the decision between this region and the others rests on. */
+/** Input of `chooseRoute`. */
 export interface RoutingInput {
-  /** Whether a server of this region may have the request. */
+  /** Whether a server of this region may serve the request. */
   readonly canServeHere: boolean;
-  /** Instances of other allowed regions that have servers of the service; none for forwarded requests. */
+  /** Instances of other allowed regions that have servers of the service; empty for forwarded requests. */
   readonly peers: readonly PeerCandidate[];
 }
 
 /** Where a request goes. */
 export type RoutingDecision =
-  /** To a server of this region, which is chosen when its turn comes. */
+  /** To a server of this region, which is chosen when the request leaves its queue. */
   | { readonly kind: 'here' }
   | {
       readonly kind: 'peer';
--- a/src/core/spillover/create-spillover.ts
+++ b/src/core/spillover/create-spillover.ts
@@ -13,43 +13,50 @@
 } from './types';
 
 /**
- * When a request leaves its home region, and for which other one.
+ * Decides when a request leaves its home region, and for which other region.
  *
- * A request is in excess when home would refuse it, or when it would wait so much longer than elsewhere that
- * the gain outweighs what serving it elsewhere costs by the deployment's weights. Gain and cost are measured in
- * the request's own service time, so that one rule fits a stock check and a floor plan. As many requests as
- * `SpillShare` allows leave, as far as the other regions' windows have room: those in excess, and others that
- * would wait, so that what is bound to home gets the room they leave.
+ * A request is in excess when its home region would refuse it, or when it would wait so much longer there than
+ * elsewhere that the gain exceeds the cost of serving it remotely under the deployment's weights. Gain and
+ * cost are measured relative to the request's own service time, so that one rule fits short and long requests,
+ * such as a stock check and a floor plan. `SpillShare` limits how many requests leave, and the forward windows
+ * of the other regions limit how many each of them receives. Besides requests in excess, others that would
+ * wait may leave too, to free capacity for requests that must stay at home.
  *
- * Requests at home are never in excess below `leastUtilisation`: at 80% of the capacity, waits are chance and
- * pass before a request could travel.
+ * Below `leastUtilisation` no request is in excess unless home would refuse it: at 80% of the capacity, waits
+ * are random and pass before a request could reach another region.
  */
 export interface Spillover {
-  /** Decides for one request of a caller; to be called once for each, also for those bound to home. */
+  /**
+   * Decides for one request of a caller. Must be called once for each request, also for those that must stay
+   * at home.
+   */
   decide(input: SpilloverInput): SpilloverDecision;
-  /** Notes that a request was forwarded to a region. */
+  /** Records that a request was forwarded to a region. */
   begin(service: string, region: string): void;
-  /** Notes how it ended. */
+  /** Records how a forwarded request ended. */
   end(service: string, region: string, result: ForwardResult, nowMs: number): void;
-  /** Share of the service's arrivals that leaves, 0 to 1. */
+  /** Returns the share of the service's arrivals that is spilled, 0 to 1. */
   share(service: string): number;
 }
 
-/** What the decision is made from. */
+/** Dependencies of `createSpillover`. */
 export interface SpilloverNeeds {
   readonly options: () => SpilloverOptions;
   readonly weights: () => Weights;
   readonly random: RandomSource;
 }
 
-/** While something is spilled, this part of the gain is enough to go on: the mark to leave lies above it. */
-const STAY_OUT_SHARE = 0.5;
+/**
+ * Gain-to-cost ratio above which spilling continues once it has begun. It is lower than the ratio of 1 at
+ * which spilling starts, which provides hysteresis.
+ */
+const CONTINUE_SPILLING_THRESHOLD = 0.5;
 
-interface OpenRegion extends RemoteRegion {
-  readonly room: number;
+interface AvailableRegion extends RemoteRegion {
+  readonly remainingForwards: number;
 }
 
-/** Spillover that has seen nothing. */
+/** Creates the spillover logic of one instance, without any recorded requests. */
 export function createSpillover({ options, weights, random }: SpilloverNeeds): Spillover {
   const shares = new Map<string, SpillShare>();
   const windows = new Map<string, ForwardWindow>();
@@ -66,8 +73,11 @@
     return window;
   };
 
-  /** What a request gains elsewhere against what that costs; above 1 it is worth it. */
-  const worth = (home: HomeOutlook, roundTripMs: number): number => {
+  /**
+   * Returns the gain of serving a request remotely divided by its cost (the gain itself if the cost is 0);
+   * above 1 the gain outweighs the cost.
+   */
+  const gainToCostRatio = (home: HomeOutlook, roundTripMs: number): number => {
     const serviceMs = Math.max(1, home.expectedServiceMs);
     const remoteMs = roundTripMs + COLD_CACHE_SHARE * serviceMs;
     const gain = (weights().tailLatency * (home.expectedWaitMs - remoteMs)) / serviceMs;
@@ -79,48 +89,63 @@
     if (home.wouldRefuse) return true;
     if (home.utilisation < options().leastUtilisation) return false;
     const nearestMs = Math.min(...regions.map(({ roundTripMs }) => roundTripMs));
-    const mark = shareOf(service).share() > 0 ? STAY_OUT_SHARE : 1;
-    return worth(home, Number.isFinite(nearestMs) ? nearestMs : 0) > mark;
+    const threshold = shareOf(service).share() > 0 ? CONTINUE_SPILLING_THRESHOLD : 1;
+    return gainToCostRatio(home, Number.isFinite(nearestMs) ? nearestMs : 0) > threshold;
   };
 
-  const openRegions = ({ service, regions, nowMs }: SpilloverInput): OpenRegion[] =>
+  const availableRegions = ({ service, regions, nowMs }: SpilloverInput): AvailableRegion[] =>
     regions
-      .map((region) => ({ ...region, room: windowOf(service, region.region).room(nowMs) }))
-      .filter(({ room }) => room > 0);
+      .map((region) => ({
+        ...region,
+        remainingForwards: windowOf(service, region.region).remainingForwards(nowMs),
+      }))
+      .filter(({ remainingForwards }) => remainingForwards > 0);
 
-  /** Draws a region in proportion to its room: always the roomiest would be everyone's choice at once. */
-  const draw = (regions: readonly OpenRegion[]): OpenRegion | undefined => {
-    const rooms = regions.reduce((sum, { room }) => sum + room, 0);
-    let left = random.next() * rooms;
-    return regions.find(({ room }) => {
-      left -= room;
-      return left < 0;
+  /**
+   * Draws a region with a probability proportional to the remaining size of its forward window. If each instance
+   * chose the region with the largest one, all would choose the same region at once.
+   */
+  const drawRegion = (regions: readonly AvailableRegion[]): AvailableRegion | undefined => {
+    const totalForwards = regions.reduce(
+      (sum, { remainingForwards }) => sum + remainingForwards,
+      0,
+    );
+    let remaining = random.next() * totalForwards;
+    return regions.find(({ remainingForwards }) => {
+      remaining -= remainingForwards;
+      return remaining < 0;
     });
   };
 
-  const leave = (
-    open: readonly OpenRegion[],
+  const chooseRegion = (
+    available: readonly AvailableRegion[],
     reason: 'home has no server' | 'home is overloaded',
   ): SpilloverDecision => {
-    const chosen = draw(open);
+    const chosen = drawRegion(available);
     if (chosen === undefined) return { kind: 'home', reason: 'no region takes more' };
-    const runnersUp = open.filter((one) => one !== chosen).map(({ region }) => region);
+    const runnersUp = available.filter((one) => one !== chosen).map(({ region }) => region);
     return { kind: 'leave', region: chosen.region, runnersUp, reason };
   };
 
-  /** Decides for a request that home could take; a right to leave is taken only when it leaves. */
-  const weigh = (input: SpilloverInput, inExcess: boolean): SpilloverDecision => {
+  /**
+   * Decides for a request whose home region has a server; a spillover permit is taken only if a region is
+   * available.
+   */
+  const decideForServableRequest = (
+    input: SpilloverInput,
+    inExcess: boolean,
+  ): SpilloverDecision => {
     const { service, home, regions } = input;
     if (regions.length === 0) return { kind: 'home', reason: 'bound to home' };
-    const hasRoom = home.expectedWaitMs === 0 && !home.wouldRefuse;
-    if (hasRoom) return { kind: 'home', reason: 'home has room' };
-    // While home is pressed, whoever may leave and would wait makes room for those who may not.
+    const startsAtOnce = home.expectedWaitMs === 0 && !home.wouldRefuse;
+    if (startsAtOnce) return { kind: 'home', reason: 'home has room' };
+    // While home is overloaded, requests that would wait and may leave free capacity for those that must stay.
     const share = shareOf(service);
     if (!inExcess && share.share() === 0) return { kind: 'home', reason: 'gain below cost' };
-    const open = openRegions(input);
-    if (open.length === 0) return { kind: 'home', reason: 'no region takes more' };
-    if (!share.take()) return { kind: 'home', reason: 'share of spillover used up' };
-    return leave(open, 'home is overloaded');
+    const available = availableRegions(input);
+    if (available.length === 0) return { kind: 'home', reason: 'no region takes more' };
+    if (!share.tryTakePermit()) return { kind: 'home', reason: 'share of spillover used up' };
+    return chooseRegion(available, 'home is overloaded');
   };
 
   return {
@@ -128,13 +153,13 @@
       const { service, home, regions, nowMs } = input;
       if (!home.canServe) {
         if (regions.length === 0) return { kind: 'home', reason: 'bound to home' };
-        return leave(openRegions(input), 'home has no server');
+        return chooseRegion(availableRegions(input), 'home has no server');
       }
       const inExcess = isInExcess(input);
-      const decision = weigh(input, inExcess);
+      const decision = decideForServableRequest(input, inExcess);
       const share = shareOf(service);
-      if (decision.kind === 'leave') share.noteLeft(nowMs);
-      else share.noteKept(inExcess, nowMs);
+      if (decision.kind === 'leave') share.recordSpilled(nowMs);
+      else share.recordKept(inExcess, nowMs);
       return decision;
     },
     begin: (service, region) => windowOf(service, region).begin(),
--- a/src/core/spillover/events.ts
+++ b/src/core/spillover/events.ts
@@ -7,13 +7,13 @@
     name: 'request-spilled-over',
     level: 'info',
     text: 'A request leaves its home region.',
-    action: 'None for a while; if it lasts, the region named as home needs capacity.',
+    action: 'None if temporary; if it persists, the region named as home needs capacity.',
   },
   foreignRefused: {
     id: 1701,
     name: 'foreign-request-refused',
     level: 'info',
     text: 'A request from another region was refused so that callers of this one are served first.',
-    action: 'None for a while; if it lasts, both regions are short of capacity.',
+    action: 'None if temporary; if it persists, both regions lack capacity.',
   },
 } as const satisfies Record<string, EventDefinition>;
--- a/src/core/spillover/foreign-gate.ts
+++ b/src/core/spillover/foreign-gate.ts
@@ -2,12 +2,13 @@
 import type { HomeOutlook } from './types';
 
 /**
- * Whether a region takes a request that another region forwarded.
+ * Returns whether this region accepts a request that another region forwarded.
  *
- * Answers the region next to one that lost capacity. Forwarded work that joined its queues would make its own
- * callers wait for a failure that is not theirs, and would overload it in turn. So forwarded work never waits
- * here: it is taken when it can begin at once and enough room stays for a burst of the region's own, and is
- * refused at once otherwise, as not run, so that it can still be served at home or elsewhere.
+ * Protects the region next to one that lost capacity. If forwarded requests joined its queues, its own callers
+ * would wait because of a failure elsewhere, and the region would become overloaded in turn. So forwarded
+ * requests never wait here: they are accepted if they can start at once and enough capacity remains for a
+ * burst of the region's own requests. Otherwise they are refused at once as not run, so that they can still be
+ * served at home or elsewhere.
  */
 export function mayTakeForeign(
   { canServe, wouldRefuse, expectedWaitMs, utilisation }: HomeOutlook,
--- a/src/core/spillover/forward-window.ts
+++ b/src/core/spillover/forward-window.ts
@@ -1,43 +1,49 @@
 import type { ForwardResult } from './types';
 
 /**
- * How many requests of one service this instance may have open in one other region.
+ * Limits how many requests of one service this instance may have open in one other region.
  *
- * Answers the second region: it may have a tenth of the capacity of this one, other regions may spill to it as
- * well, and nothing here knows how full it is. Every instance of every region would fill the same room at once.
- * The window needs no messages: it grows by one with each answer until the region first refuses for load, and by
- * one per round of answers from then on; a refusal halves it and closes it for a moment. So instances share what room there is
- * without knowing of one another, and cold caches warm up while little is sent.
+ * Protects a region that receives spillover: it may have a tenth of this region's capacity, other regions may
+ * spill to it too, and this instance does not know its load. Without a limit, the instances of all regions
+ * would fill the same capacity at once.
+ *
+ * The window needs no messages between instances. It grows by one with each answer until the region first
+ * refuses a request because of load, and from then on by one per round of answers; a refusal halves it and
+ * closes it for a short time. So instances share the available capacity without knowing of one another, and
+ * cold caches warm up while few requests are sent.
  */
 export interface ForwardWindow {
-  /** Requests that may still be opened. */
-  room(nowMs: number): number;
+  /** Returns how many more requests may be opened now. */
+  remainingForwards(nowMs: number): number;
   begin(): void;
   end(result: ForwardResult, nowMs: number): void;
 }
 
-const FIRST_LIMIT = 2;
-const LEAST_LIMIT = 1;
+const INITIAL_LIMIT = 2;
+const MIN_LIMIT = 1;
 /** Far more than a small instance can hold open. */
-const MOST_LIMIT = 256;
-const KEPT_ON_REFUSAL = 0.5;
-/** Refusals within this time speak of one and the same moment of load, ms. */
-const PAUSE_AFTER_REFUSAL_MS = 500;
-/** An unused window says nothing about today's room and starts anew, ms. */
-const FORGET_AFTER_MS = 30_000;
+const MAX_LIMIT = 256;
+const REFUSAL_DECREASE_FACTOR = 0.5;
+/**
+ * Time for which a refusal closes the window, ms. Further refusals within it stem from the same load and are
+ * ignored.
+ */
+const REFUSAL_BACKOFF_MS = 500;
+/** Idle time after which the window is reset, ms: its limit no longer reflects the capacity of the region. */
+const IDLE_RESET_MS = 30_000;
 
-/** A window that has seen nothing. */
+/** Creates a forward window at its initial limit. */
 export function createForwardWindow(): ForwardWindow {
-  let limit = FIRST_LIMIT;
+  let limit = INITIAL_LIMIT;
   let open = 0;
   let wasRefused = false;
   let closedUntilMs = -Infinity;
-  let lastEndMs = -Infinity;
+  let lastEndAtMs = -Infinity;
 
   return {
-    room(nowMs) {
-      if (open === 0 && nowMs - lastEndMs > FORGET_AFTER_MS) {
-        limit = FIRST_LIMIT;
+    remainingForwards(nowMs) {
+      if (open === 0 && nowMs - lastEndAtMs > IDLE_RESET_MS) {
+        limit = INITIAL_LIMIT;
         wasRefused = false;
       }
       return nowMs < closedUntilMs ? 0 : Math.floor(limit) - open;
@@ -48,17 +54,17 @@
     end(result, nowMs) {
       const wasFull = open >= Math.floor(limit);
       open -= 1;
-      lastEndMs = nowMs;
+      lastEndAtMs = nowMs;
       switch (result) {
         case 'answered':
-          if (wasFull) limit = Math.min(MOST_LIMIT, limit + (wasRefused ? 1 / limit : 1));
+          if (wasFull) limit = Math.min(MAX_LIMIT, limit + (wasRefused ? 1 / limit : 1));
           return;
         case 'refusedForLoad':
         case 'failed':
           wasRefused = true;
           if (nowMs < closedUntilMs) return;
-          limit = Math.max(LEAST_LIMIT, limit * KEPT_ON_REFUSAL);
-          closedUntilMs = nowMs + PAUSE_AFTER_REFUSAL_MS;
+          limit = Math.max(MIN_LIMIT, limit * REFUSAL_DECREASE_FACTOR);
+          closedUntilMs = nowMs + REFUSAL_BACKOFF_MS;
           return;
         default:
           result satisfies never;
--- a/src/core/spillover/index.ts
+++ b/src/core/spillover/index.ts
@@ -1,4 +1,4 @@
-/** When requests leave their home region, and which of another region's are taken here. */
+/** Decides which requests leave their home region, and which forwarded requests are accepted here. */
 export { createSpillover } from './create-spillover';
 export type { Spillover, SpilloverNeeds } from './create-spillover';
 export { SPILLOVER_EVENTS } from './events';
--- a/src/core/spillover/spill-share.ts
+++ b/src/core/spillover/spill-share.ts
@@ -1,110 +1,119 @@
 import type { SpilloverOptions, Weights } from '../configuration';
 
 /**
- * Which share of a service's arrivals leaves its home region.
+ * Controls the share of a service's arrivals that is spilled to other regions.
  *
- * Answers a region that has lost capacity or gets more than it can serve. If each request went wherever it
- * would be served soonest at that moment, all of a region would leave within a second of its queue growing:
- * onto caches that hold none of its prefixes, where the same work costs more, until the next region is
- * overloaded too and sends everything back. One notices load that swings between regions.
+ * Protects against load that swings between regions when one has lost capacity or receives more than it can
+ * serve. If each request went wherever it would be served soonest, all requests of a region would leave within
+ * a second of its queue growing. They would reach caches that hold none of their prefixes, where the same work
+ * costs more, until the next region is overloaded too and sends everything back.
  *
- * So the share follows what was seen over seconds, moves at a bounded rate in both directions, and keeps still
- * between two marks: it rises while more than `PRESSED_SHARE` of the requests kept at home are in excess, and
- * falls only below `RELAXED_SHARE`. What left and what was kept in excess make up the whole excess. How much of the excess leaves is for the deployment to weigh: all of it
- * where tail latency weighs as much as remote serving or more, else in proportion; the rest waits or is refused.
+ * So the share follows an average over seconds, changes at a bounded rate in both directions, and has
+ * hysteresis: it rises while more than `RISE_THRESHOLD` of the requests kept at home are in excess, and falls
+ * only below `FALL_THRESHOLD`. The total excess consists of the spilled requests and the kept requests in
+ * excess. The weights of the deployment determine how much of the excess is spilled: all of it if tail latency
+ * weighs at least as much as remote serving, otherwise a proportional part; the rest waits or is refused.
  */
 export interface SpillShare {
-  /** Notes a request that stays; `inExcess` when home cannot serve it well. */
-  noteKept(inExcess: boolean, nowMs: number): void;
-  /** Notes a request that leaves. */
-  noteLeft(nowMs: number): void;
-  /** Takes the right to spill one request; false while the share is used up. */
-  take(): boolean;
+  /** Records a request that stays at home; `inExcess` means that home cannot serve it well. */
+  recordKept(inExcess: boolean, nowMs: number): void;
+  /** Records a request that is spilled. */
+  recordSpilled(nowMs: number): void;
+  /** Takes a permit to spill one request; returns false if none remains. */
+  tryTakePermit(): boolean;
   share(): number;
 }
 
-/** Above this share of kept requests in excess the spilled share rises; chance alone reaches it rarely. */
-const PRESSED_SHARE = 0.05;
-/** Below this share it falls. */
-const RELAXED_SHARE = 0.01;
-/** Time over which arrivals are averaged: longer than a burst of one caller, shorter than a queue builds, ms. */
-const AVERAGED_MS = 3_000;
+/** Share of kept requests in excess above which the spilled share rises; random variation rarely reaches it. */
+const RISE_THRESHOLD = 0.05;
+/** Share of kept requests in excess below which the spilled share falls. */
+const FALL_THRESHOLD = 0.01;
 /**
- * Time from the first request of a service until its share may rise. An instance that has just started knows
- * neither its servers' limits nor how long work takes, and everything looks like excess to it; with 790 instances
- * replaced a day, one would start to spill from a healthy region every two minutes.
+ * Time over which arrivals are averaged, ms: longer than a burst of one caller, shorter than a queue takes to
+ * build up.
  */
-const SETTLING_MS = 20_000;
-/** Rights to spill that may be saved up; more would let a quiet spell end in a burst. */
-const MOST_SAVED = 2;
-/** Part of a request's cost that a cold cache adds. */
+const AVERAGING_TIME_MS = 3_000;
+/**
+ * Time from the first request of a service until its share may rise, ms. An instance that has just started
+ * knows neither the limits of its servers nor the duration of requests, so that all requests look in excess.
+ * With 790 instances replaced a day, one would start to spill from a healthy region every two minutes.
+ */
+const WARM_UP_MS = 20_000;
+/** Maximum number of saved permits; with more, spillover could burst after a quiet period. */
+const MAX_SAVED_PERMITS = 2;
+/** Share of a request's cost that a cold cache adds. */
 export const COLD_CACHE_SHARE = 0.5;
 
-/** What serving one request elsewhere costs, in units of the request's own service time. */
+/** Returns the cost of serving one request remotely, relative to the request's own service time. */
 export function remoteCost({ remoteShare, cost }: Weights): number {
   return remoteShare + cost * COLD_CACHE_SHARE;
 }
 
-/** Part of the excess that leaves, 0 to 1. */
+/** Returns the share of the excess that is spilled, 0 to 1. */
 export function willingness(weights: Weights): number {
-  const dislike = remoteCost(weights);
-  return dislike === 0 ? 1 : Math.min(1, weights.tailLatency / dislike);
+  const remoteServingCost = remoteCost(weights);
+  return remoteServingCost === 0 ? 1 : Math.min(1, weights.tailLatency / remoteServingCost);
 }
 
-function clamp(value: number, least: number, most: number): number {
-  return Math.min(most, Math.max(least, value));
+function clamp(value: number, min: number, max: number): number {
+  return Math.min(max, Math.max(min, value));
 }
 
-/** Weight of one more request in an average, by the time since the one before. */
+/** Returns the weight of a new request in a moving average, by the time since the previous one. */
 function weightOf(elapsedMs: number): number {
-  return 1 - Math.exp(-elapsedMs / AVERAGED_MS);
+  return 1 - Math.exp(-elapsedMs / AVERAGING_TIME_MS);
 }
 
-/** A share of nothing. */
+/** Creates a spill share that starts at 0. */
 export function createSpillShare(
   options: () => SpilloverOptions,
   weights: () => Weights,
 ): SpillShare {
+  /** Share that may be spilled; `measuredSpilledShare` is the moving average of what is spilled. */
   let share = 0;
-  let saved = 0;
-  let pressedShare = 0;
-  let leftShare = 0;
-  let firstMs: number | undefined;
-  let lastMs: number | undefined;
+  let savedPermits = 0;
+  let keptExcessShare = 0;
+  let measuredSpilledShare = 0;
+  let firstRequestAtMs: number | undefined;
+  let lastRequestAtMs: number | undefined;
 
-  const goal = (): number => {
-    if (pressedShare < RELAXED_SHARE) return 0;
-    const excess = leftShare + (1 - leftShare) * pressedShare;
+  const targetShare = (): number => {
+    if (keptExcessShare < FALL_THRESHOLD) return 0;
+    const excess = measuredSpilledShare + (1 - measuredSpilledShare) * keptExcessShare;
     const wanted = willingness(weights()) * excess;
-    return pressedShare > PRESSED_SHARE ? wanted : share;
+    return keptExcessShare > RISE_THRESHOLD ? wanted : share;
   };
 
-  /** Moves the share on to `nowMs`; returns the weight of one request in the averages. */
+  /** Updates the share to `nowMs`; returns the weight of one request in the averages. */
   const advance = (nowMs: number): number => {
-    const elapsedMs = Math.min(AVERAGED_MS, nowMs - (lastMs ?? nowMs));
-    lastMs = nowMs;
-    firstMs ??= nowMs;
-    if (nowMs - firstMs < SETTLING_MS) return weightOf(elapsedMs);
+    const elapsedMs = Math.min(AVERAGING_TIME_MS, nowMs - (lastRequestAtMs ?? nowMs));
+    lastRequestAtMs = nowMs;
+    firstRequestAtMs ??= nowMs;
+    if (nowMs - firstRequestAtMs < WARM_UP_MS) return weightOf(elapsedMs);
     const { risePerSecond, fallPerSecond } = options();
     const elapsedS = elapsedMs / 1000;
-    const change = clamp(goal() - share, -fallPerSecond * elapsedS, risePerSecond * elapsedS);
+    const change = clamp(
+      targetShare() - share,
+      -fallPerSecond * elapsedS,
+      risePerSecond * elapsedS,
+    );
     share = clamp(share + change, 0, 1);
-    saved = Math.min(MOST_SAVED, saved + share);
+    savedPermits = Math.min(MAX_SAVED_PERMITS, savedPermits + share);
     return weightOf(elapsedMs);
   };
 
   return {
-    noteKept(inExcess, nowMs) {
+    recordKept(inExcess, nowMs) {
       const weight = advance(nowMs);
-      pressedShare += weight * ((inExcess ? 1 : 0) - pressedShare);
-      leftShare -= weight * leftShare;
+      keptExcessShare += weight * ((inExcess ? 1 : 0) - keptExcessShare);
+      measuredSpilledShare -= weight * measuredSpilledShare;
     },
-    noteLeft(nowMs) {
-      leftShare += advance(nowMs) * (1 - leftShare);
+    recordSpilled(nowMs) {
+      measuredSpilledShare += advance(nowMs) * (1 - measuredSpilledShare);
     },
-    take() {
-      if (saved < 1) return false;
-      saved -= 1;
+    tryTakePermit() {
+      if (savedPermits < 1) return false;
+      savedPermits -= 1;
       return true;
     },
     share: () => share,
--- a/src/core/spillover/types.ts
+++ b/src/core/spillover/types.ts
@@ -1,27 +1,27 @@
-/** How a request would fare in its own region. */
+/** Estimate of how a request would be served in its home region. */
 export interface HomeOutlook {
-  /** Whether any server of the region may take it at all. */
+  /** Whether any server of the region may serve the request. */
   readonly canServe: boolean;
-  /** Whether it would be refused here for want of room. */
+  /** Whether the region would refuse the request for lack of capacity. */
   readonly wouldRefuse: boolean;
   readonly expectedWaitMs: number;
   readonly expectedServiceMs: number;
-  /** Work in flight against its limit, 0 to 1 and a little above. */
+  /** Work in flight divided by its limit: 0 to 1, at times slightly above. */
   readonly utilisation: number;
 }
 
-/** Another region that the request's data may be in, that has servers for it and that can be reached. */
+/** Another region that may hold the request's data, has servers for it and is reachable. */
 export interface RemoteRegion {
   readonly region: string;
-  /** Time that the way there and back adds, ms. */
+  /** Round-trip time that serving the request there adds, ms. */
   readonly roundTripMs: number;
 }
 
-/** What one spillover decision rests on. */
+/** Input of a spillover decision. */
 export interface SpilloverInput {
   readonly service: string;
   readonly home: HomeOutlook;
-  /** Empty for a request that is bound to its home. */
+  /** Regions that the request may go to; empty if it must stay at home. */
   readonly regions: readonly RemoteRegion[];
   readonly nowMs: number;
 }
@@ -36,7 +36,7 @@
       readonly reason: 'home has no server' | 'home is overloaded';
     };
 
-/** Why a request stays at home. */
+/** Reason why a request stays at home. */
 export type HomeReason =
   | 'home has room'
   | 'bound to home'
@@ -44,5 +44,5 @@
   | 'share of spillover used up'
   | 'no region takes more';
 
-/** What a region said to a request that was forwarded to it. */
+/** Outcome of a request that was forwarded to a region. */
 export type ForwardResult = 'answered' | 'refusedForLoad' | 'failed';
