--- a/bench/account-quotas/main.ts
+++ b/bench/account-quotas/main.ts
@@ -4,7 +4,7 @@
  */
 import {
   drawArrivals,
-  playQuotas,
+  simulateQuotas,
   regionOf,
 } from '../../src/core/account-quotas/testing/quota-fleet';
 import type { AccountQuota } from '../../src/core/client-accounts';
@@ -42,7 +42,7 @@
         perSecond: usualOf(String(index), instances),
         fromMs: FROM_MS,
         toMs: TO_MS,
-        at: (_atMs, draw) => Math.floor(draw * instances),
+        instanceAt: (_atMs, draw) => Math.floor(draw * instances),
       },
       index + 1,
     ),
@@ -50,12 +50,12 @@
   let messages = 0;
   let bytes = 0;
   let betweenRegions = 0;
-  const outcomes = playQuotas({
+  const outcomes = simulateQuotas({
     instances,
     quotaOf,
     arrivals,
     durationMs: TO_MS,
-    onSent(from, to, text) {
+    onMessage(from, to, text) {
       messages += 1;
       bytes += text.length;
       if (regionOf(from) !== regionOf(to)) betweenRegions += 1;
--- a/bench/fleet/measure-grpc.ts
+++ b/bench/fleet/measure-grpc.ts
@@ -1,7 +1,7 @@
 import { connect, createServer } from 'node:net';
 import type { AddressInfo, Server, Socket } from 'node:net';
 import process from 'node:process';
-import { createGossipBoard } from '../../src/core/gossip';
+import { createGossipStore } from '../../src/core/gossip';
 import { createDisposableStore } from '../../src/core/lifetime';
 import { createMembership } from '../../src/core/membership';
 import {
@@ -91,7 +91,7 @@
         clock,
         random: createSeededRandom(index),
         logger: createMemoryLogger(),
-        gossip: createGossipBoard(`i-${index}`, clock),
+        gossip: createGossipStore(`i-${index}`, clock),
         incarnation: clock.unixMs(),
         seedPeers: addresses.slice(0, 2),
         transport: {
--- a/src/core/access/index.ts
+++ b/src/core/access/index.ts
@@ -14,7 +14,7 @@
 }
 
 /** Compares two secrets in constant time, so that the time does not reveal where they differ. */
-export function sameSecret(given: string, expected: string): boolean {
+export function secretsMatch(given: string, expected: string): boolean {
   const givenDigest = createHash('sha256').update(given).digest();
   const expectedDigest = createHash('sha256').update(expected).digest();
   return timingSafeEqual(givenDigest, expectedDigest);
@@ -34,6 +34,6 @@
   if (key === undefined) return undefined;
   const digest = keyDigest(key);
   const caller = configuration.callerByKeyDigest(digest);
-  if (caller === undefined || !sameSecret(digest, caller.keySha256)) return undefined;
+  if (caller === undefined || !secretsMatch(digest, caller.keySha256)) return undefined;
   return caller;
 }
--- a/src/core/account-quotas/account-quotas.test.ts
+++ b/src/core/account-quotas/account-quotas.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { AccountQuota } from '../client-accounts';
-import { QUOTA_REGIONS, drawArrivals, maxGranted, playQuotas } from './testing/quota-fleet';
+import { QUOTA_REGIONS, drawArrivals, maxGranted, simulateQuotas } from './testing/quota-fleet';
 import type { QuotaFleetOptions } from './testing/quota-fleet';
 
 /**
@@ -63,20 +63,20 @@
       perSecond: (RATES[account] ?? 0) * USUAL_FRACTION * timesUsual,
       fromMs: START_MS,
       toMs: durationMs - 1_000,
-      at: placement(options.instances),
+      instanceAt: placement(options.instances),
     },
     options.seed ?? 1,
   );
-  return playQuotas({ quotaOf, arrivals, durationMs, ...options });
+  return simulateQuotas({ quotaOf, arrivals, durationMs, ...options });
 }
 
-function assertInBound(outcomes: ReturnType<typeof playQuotas>, account: string): void {
+function assertInBound(outcomes: ReturnType<typeof simulateQuotas>, account: string): void {
   const granted = maxGranted(outcomes, account, WINDOW_MS);
   const limit = maxGrantedCost(quotaOf(account));
   assert.ok(granted <= limit, `${Math.round(granted)} of ${Math.round(limit)}`);
 }
 
-function refusedShare(outcomes: ReturnType<typeof playQuotas>): number {
+function refusedShare(outcomes: ReturnType<typeof simulateQuotas>): number {
   const refused = outcomes.filter(({ kind }) => kind !== 'granted');
   return refused.length / Math.max(1, outcomes.length);
 }
@@ -130,7 +130,7 @@
           cost: 9_250,
           instance: index % instances,
         }));
-        const outcomes = playQuotas({ quotaOf, arrivals, instances, durationMs: 15_000 });
+        const outcomes = simulateQuotas({ quotaOf, arrivals, instances, durationMs: 15_000 });
         assert.equal(outcomes.length, count);
         assertInBound(outcomes, account);
       });
@@ -152,10 +152,16 @@
           instance: index % instances,
         }));
         const perSecond = (RATES[account] ?? 0) * USUAL_FRACTION;
-        const at = EVENLY(instances);
-        const usual = drawArrivals({ account, perSecond, fromMs: START_MS, toMs: atMs, at }, 1);
+        const instanceAt = EVENLY(instances);
+        const usual = drawArrivals(
+          { account, perSecond, fromMs: START_MS, toMs: atMs, instanceAt },
+          1,
+        );
         const arrivals = [...usual, ...burst];
-        assertInBound(playQuotas({ quotaOf, arrivals, instances, durationMs: 20_000 }), account);
+        assertInBound(
+          simulateQuotas({ quotaOf, arrivals, instances, durationMs: 20_000 }),
+          account,
+        );
       });
     }
   }
--- a/src/core/account-quotas/create-account-quotas.ts
+++ b/src/core/account-quotas/create-account-quotas.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '../clock';
-import { createRegionalCounts } from './count-book';
-import type { RegionalCountsOptions } from './count-book';
-import { createCounterSelector } from './counters';
+import { createRegionalCounts } from './regional-counts';
+import type { RegionalCountsOptions } from './regional-counts';
+import { createCounterSelector } from './counter-selector';
 import { createLocalReserve } from './local-reserve';
 import { createStandings } from './standings';
 import { parseQuotaMessage, serializeQuotaMessage } from './messages';
@@ -11,13 +11,13 @@
 /** Enforces the quotas of accounts over all instances. */
 export interface AccountQuotas {
   /** Decides whether one request is within its quota. `decide` may be called before this returns. */
-  require(request: QuotaRequest, decide: (decision: QuotaDecision) => void): void;
+  authorize(request: QuotaRequest, decide: (decision: QuotaDecision) => void): void;
   /** Refunds the cost granted to a request that has not run. */
-  giveBack(request: QuotaRequest): void;
+  refund(request: QuotaRequest): void;
   /** Processes a message of another instance. Returns whether the text was a valid quota message. */
-  take(text: string): boolean;
+  receive(text: string): boolean;
   /** Sends the reports that are due to other instances. Must be called regularly. */
-  tell(): void;
+  sendDueReports(): void;
 }
 
 /** Options of the account quotas. */
@@ -260,7 +260,7 @@
   };
 
   return {
-    require(request, decide) {
+    authorize(request, decide) {
       const { account, cost, quota } = request;
       const spending = { cost, quota, unreportedCost: unreportedCosts.get(account) ?? 0 };
       const localVerdict = standings.evaluate(account, spending, nowMs());
@@ -276,13 +276,13 @@
       }
       askNext({ request, decide, asked: [], wasHeld: false });
     },
-    giveBack: ({ account, cost }) => addUnreportedCost(account, -cost),
-    take(text) {
+    refund: ({ account, cost }) => addUnreportedCost(account, -cost),
+    receive(text) {
       const message = parseQuotaMessage(text);
       if (message !== undefined) receiveMessage(message);
       return message !== undefined;
     },
-    tell() {
+    sendDueReports() {
       reportSpent();
       ownCounts.sendDueReports(nowMs());
       cleanUp();
--- a/src/core/account-quotas/region-view.ts
+++ b/src/core/account-quotas/region-view.ts
@@ -1,4 +1,4 @@
-import type { CounterSelector } from './counters';
+import type { CounterSelector } from './counter-selector';
 import type { QuotaPeer } from './types';
 
 /** Tracks the instances seen recently, to estimate how much of its region this instance still reaches. */
--- a/src/core/account-quotas/count-book.ts
+++ b/src/core/account-quotas/regional-counts.ts
@@ -1,7 +1,7 @@
 import type { AccountQuota } from '../client-accounts';
 import { createAccountCount } from './account-count';
 import type { AccountCount, CountSender } from './account-count';
-import type { CounterSelector } from './counters';
+import type { CounterSelector } from './counter-selector';
 import type { AskVerdict, QuotaMessage } from './messages';
 import { createRegionView } from './region-view';
 import type { CountReport, QuotaPeer } from './types';
--- a/src/core/account-quotas/testing/quota-fleet.ts
+++ b/src/core/account-quotas/testing/quota-fleet.ts
@@ -41,7 +41,7 @@
   readonly repeatedShare?: number;
   readonly arrivals: readonly QuotaArrival[];
   /** Called for each message from one instance to another. */
-  readonly onSent?: (from: number, to: number, text: string) => void;
+  readonly onMessage?: (from: number, to: number, text: string) => void;
   readonly durationMs: number;
 }
 
@@ -102,7 +102,7 @@
 }
 
 /** Simulates arrivals at a fleet. The same seed gives the same outcomes. */
-export function playQuotas(options: QuotaFleetOptions): readonly QuotaOutcome[] {
+export function simulateQuotas(options: QuotaFleetOptions): readonly QuotaOutcome[] {
   const { clock, advanceTo } = createSteppedClock();
   const random = createSeededRandom(options.seed ?? 1);
   const nowMs = () => clock.monotonicMs();
@@ -127,7 +127,7 @@
   };
 
   const deliver = (from: number, to: number, text: string): void => {
-    options.onSent?.(from, to, text);
+    options.onMessage?.(from, to, text);
     const times = random.next() < (options.repeatedShare ?? 0) ? 2 : 1;
     const delayMs = regionOf(from) === regionOf(to) ? SAME_REGION_DELAY_MS : CROSS_REGION_DELAY_MS;
     const target = instances[to];
@@ -135,7 +135,7 @@
     const { life } = target;
     for (let time = 0; time < times; time += 1) {
       clock.schedule(nowMs() + delayMs, () => {
-        if (target.life === life) target.quotas.take(text);
+        if (target.life === life) target.quotas.receive(text);
       });
     }
   };
@@ -184,7 +184,7 @@
   const submit = (arrival: QuotaArrival): void => {
     const { account, cost } = arrival;
     const quota = options.quotaOf(account, nowMs());
-    instances[arrival.instance]?.quotas.require({ account, cost, quota }, ({ kind }) =>
+    instances[arrival.instance]?.quotas.authorize({ account, cost, quota }, ({ kind }) =>
       outcomes.push({ ...arrival, kind, decidedAtMs: nowMs() }),
     );
   };
@@ -206,7 +206,7 @@
       const arrival = arrivals[next];
       if (arrival !== undefined) submit(arrival);
     }
-    if (nowMs() % TICK_MS === 0) for (const { quotas } of instances) quotas.tell();
+    if (nowMs() % TICK_MS === 0) for (const { quotas } of instances) quotas.sendDueReports();
   }
   return outcomes;
 }
@@ -242,7 +242,7 @@
   readonly fromMs: number;
   readonly toMs: number;
   /** Returns the instance that receives a request at a time; `draw` is in [0, 1). */
-  readonly at: (atMs: number, draw: number) => number;
+  readonly instanceAt: (atMs: number, draw: number) => number;
 }
 
 /** Costs of requests, in tokens, and their shares of all requests. */
@@ -269,7 +269,7 @@
       draw -= share;
       return draw < 0;
     });
-    const instance = demand.at(atMs, random.next());
+    const instance = demand.instanceAt(atMs, random.next());
     arrivals.push({ atMs, account: demand.account, cost: kind?.cost ?? MEAN_COST, instance });
   }
 }
--- a/src/core/caller-limits/caller-limits.ts
+++ b/src/core/caller-limits/caller-limits.ts
@@ -4,7 +4,7 @@
 import { recordDraws } from '../decision-trace';
 import type { DecisionRecorder } from '../decision-trace';
 import type { Logger } from '../events';
-import type { GossipBoard, GossipEntry } from '../gossip';
+import type { Gossip, GossipEntry } from '../gossip';
 import type { RandomSource } from '../random';
 import { REFUSALS, RefusalError } from '../refusals';
 import { SAMPLED_TTL_MS, announcementSchema, announcementTtlMs } from './announcement';
@@ -25,7 +25,7 @@
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
-  readonly gossip: GossipBoard;
+  readonly gossip: Gossip;
   readonly configuration: ConfigurationStore;
   /** Returns the number of live instances, including this one. */
   readonly instances: () => number;
--- a/src/core/calls/calls.test.ts
+++ b/src/core/calls/calls.test.ts
@@ -4,7 +4,7 @@
 import type { AddressInfo } from 'node:net';
 import { createSystemClock } from '../../runtime/system-clock';
 import { createMemoryLogger } from '../../testing';
-import { CALL_EVENTS, openCallListener, openCaller } from '.';
+import { CALL_EVENTS, openCallListener, openCallClient } from '.';
 import type { CallHandler } from '.';
 
 const clock = createSystemClock();
@@ -29,7 +29,7 @@
     withListener(
       ({ text, query }) => ({ status: 201, text: `${text} ${query.get('after')}` }),
       async (address) => {
-        using callClient = openCaller(clock);
+        using callClient = openCallClient(clock);
         const call = {
           method: 'POST',
           path: '/ask?after=7',
@@ -50,7 +50,7 @@
         throw new Error('cannot be read');
       },
       async (address, logger) => {
-        using callClient = openCaller(clock);
+        using callClient = openCallClient(clock);
         const call = { method: 'GET', path: '/ask', answerByMs: inTwoSeconds() } as const;
         assert.equal((await callClient.call(address, call)).status, 500);
         assert.equal(logger.of(CALL_EVENTS.failed)[0]?.fields.reason, 'cannot be read');
@@ -62,13 +62,13 @@
     const gone = new Promise<void>((resolve) => {
       notifyGone = resolve;
     });
-    const handler: CallHandler = async ({ onGone }) => {
-      onGone(notifyGone);
+    const handler: CallHandler = async ({ onDisconnected }) => {
+      onDisconnected(notifyGone);
       await gone;
       return { status: 200, text: '' };
     };
     return withListener(handler, async (address) => {
-      using callClient = openCaller(clock);
+      using callClient = openCallClient(clock);
       const aborting = new AbortController();
       const call = { method: 'GET', path: '/ask', answerByMs: inTwoSeconds() } as const;
       const pendingCall = callClient.call(address, call, aborting.signal);
@@ -85,7 +85,7 @@
       silent.listen(0, '127.0.0.1', resolve);
     });
     const { port } = silent.address() as AddressInfo;
-    using callClient = openCaller(clock);
+    using callClient = openCallClient(clock);
     const call = { method: 'GET', path: '/ask', answerByMs: clock.monotonicMs() + 50 } as const;
     await assert.rejects(callClient.call(`127.0.0.1:${port}`, call));
     silent.close();
--- a/src/core/calls/create-caller.ts
+++ b/src/core/calls/create-call-client.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../clock';
 import { createConnectionPool } from '../exchanges';
 import type { AnswerHead, ConnectionPool } from '../exchanges';
-import type { CallAnswer, Caller, OutgoingCall } from './types';
+import type { CallAnswer, CallClient, OutgoingCall } from './types';
 
 /** Options of a client for calls. */
 export interface CallClientOptions {
@@ -24,14 +24,14 @@
 const EMPTY = new Uint8Array();
 
 /** Collects the parts of one answer as they arrive. */
-function collectAnswer(wantedHeader: string | undefined) {
+function collectAnswer(answerHeader: string | undefined) {
   const chunks: Buffer[] = [];
   let status = 0;
   let header: string | undefined;
   return {
     onHead(head: AnswerHead) {
       status = head.status;
-      if (wantedHeader !== undefined) [header] = [head.headers[wantedHeader]].flat();
+      if (answerHeader !== undefined) [header] = [head.headers[answerHeader]].flat();
     },
     // The bytes are only valid during the callback.
     onData(chunk: Buffer) {
@@ -46,17 +46,17 @@
 }
 
 /** Creates a client that makes calls over the connections of a pool. */
-export function createCaller({ clock, pool }: CallClientOptions): Caller {
+export function createCallClient({ clock, pool }: CallClientOptions): CallClient {
   const send = (address: string, call: OutgoingCall, signal: AbortSignal): Promise<CallAnswer> =>
     new Promise((resolve, reject) => {
-      const collector = collectAnswer(call.wantedHeader);
+      const collector = collectAnswer(call.answerHeader);
       const text = call.text ?? '';
       const exchange = pool.send(
         address,
         {
-          mostConnections: MAX_CONNECTIONS,
+          maxConnections: MAX_CONNECTIONS,
           connectTimeoutMs: CONNECT_TIMEOUT_MS,
-          mostIdleMs: MAX_IDLE_MS,
+          maxIdleMs: MAX_IDLE_MS,
         },
         {
           method: call.method,
@@ -91,7 +91,7 @@
 }
 
 /** Creates a client with its own connection pool. */
-export function openCaller(clock: Clock): Caller & Disposable {
+export function openCallClient(clock: Clock): CallClient & Disposable {
   const pool = createConnectionPool(() => clock.monotonicMs());
-  return { ...createCaller({ clock, pool }), [Symbol.dispose]: () => pool[Symbol.dispose]() };
+  return { ...createCallClient({ clock, pool }), [Symbol.dispose]: () => pool[Symbol.dispose]() };
 }
--- a/src/core/calls/answer-call.ts
+++ b/src/core/calls/handle-call.ts
@@ -31,7 +31,7 @@
     text,
     query: new URLSearchParams((incoming.url ?? '').split('?')[1]),
     // Most calls are answered at once; only handlers that wait need this.
-    onGone(listener) {
+    onDisconnected(listener) {
       if (response.destroyed) listener();
       else response.once('close', listener);
     },
@@ -47,7 +47,7 @@
 }
 
 /** Answers a call if there is a handler for its path; returns whether there is one. */
-export function answerCall(
+export function handleCall(
   handlers: CallHandlers,
   incoming: IncomingMessage,
   response: ServerResponse,
--- a/src/core/calls/index.ts
+++ b/src/core/calls/index.ts
@@ -1,6 +1,6 @@
 /** Internal calls between the processes of a deployment, separate from the requests of callers. */
-export { answerCall } from './answer-call';
-export { createCaller, openCaller } from './create-caller';
+export { handleCall } from './handle-call';
+export { createCallClient, openCallClient } from './create-call-client';
 export { CALL_EVENTS } from './events';
 export { openCallListener } from './open-call-listener';
 export { readBody } from './read-body';
@@ -10,7 +10,7 @@
   CallAnswer,
   CallHandler,
   CallHandlers,
-  Caller,
+  CallClient,
   IncomingCall,
   OutgoingCall,
 } from './types';
--- a/src/core/calls/open-call-listener.ts
+++ b/src/core/calls/open-call-listener.ts
@@ -1,7 +1,7 @@
 import { createServer } from 'node:http';
 import { ERRORS, errorText, gatewayError } from '../errors';
 import type { Logger } from '../events';
-import { answerCall } from './answer-call';
+import { handleCall } from './handle-call';
 import type { CallHandlers } from './types';
 
 /** Options of a listener for calls. */
@@ -25,7 +25,7 @@
 export async function openCallListener(options: CallListenerOptions): Promise<CallListener> {
   const { host, port, logger, handlers } = options;
   const server = createServer({ noDelay: true }, (incoming, response) => {
-    if (answerCall(handlers, incoming, response, logger)) return;
+    if (handleCall(handlers, incoming, response, logger)) return;
     response.writeHead(NOT_FOUND).end();
   });
   server.keepAliveTimeout = KEEP_ALIVE_TIMEOUT_MS;
--- a/src/core/calls/types.ts
+++ b/src/core/calls/types.ts
@@ -8,7 +8,7 @@
   /** Monotonic time at which the call is aborted. */
   readonly answerByMs: number;
   /** Lower-case name of an answer header to return. */
-  readonly wantedHeader?: string;
+  readonly answerHeader?: string;
 }
 
 /** The answer to a call. */
@@ -22,7 +22,7 @@
 }
 
 /** Client that makes calls over reused connections. */
-export interface Caller {
+export interface CallClient {
   /** Rejects if no complete answer arrives in time, or when `signal` aborts. */
   call(address: string, call: OutgoingCall, signal?: AbortSignal): Promise<CallAnswer>;
 }
@@ -32,7 +32,7 @@
   readonly query: URLSearchParams;
   readonly text: string;
   /** Registers a listener that is called when nobody waits for the answer any more. */
-  readonly onGone: (listener: () => void) => void;
+  readonly onDisconnected: (listener: () => void) => void;
 }
 
 /** Answers calls to one path. */
--- a/src/core/client-accounts/account-index.ts
+++ b/src/core/client-accounts/account-index.ts
@@ -7,7 +7,7 @@
   /** Returns the account of this name, if any. */
   byName(name: string): ClientAccount | undefined;
   /** Names of the accounts that have a key in common with another account. */
-  readonly sharingKeys: readonly string[];
+  readonly accountsSharingKeys: readonly string[];
 }
 
 /**
@@ -33,6 +33,6 @@
       return accountsOfKey.length === 1 ? accountsOfKey[0] : undefined;
     },
     byName: (name) => byName.get(name),
-    sharingKeys: [...new Set(shared.map(({ name }) => name))],
+    accountsSharingKeys: [...new Set(shared.map(({ name }) => name))],
   };
 }
--- a/src/core/configuration-sync/create-configuration-sync.ts
+++ b/src/core/configuration-sync/create-configuration-sync.ts
@@ -27,7 +27,13 @@
   readonly store: ConfigurationStore;
   readonly membership: Pick<
     Membership,
-    'self' | 'members' | 'candidateAddresses' | 'whenExplored' | 'isAlone' | 'prompt' | 'onContact'
+    | 'self'
+    | 'members'
+    | 'candidateAddresses'
+    | 'whenFirstContactsDone'
+    | 'isAlone'
+    | 'exchangeNow'
+    | 'onContact'
   >;
   readonly askPeer: AskPeer;
   readonly service: ConfigurationService;
@@ -98,7 +104,7 @@
   const changes = store.onChange(() => {
     sinceUnixMs = clock.unixMs();
     comparedDigests.clear();
-    membership.prompt((partner) => partner.configurationVersion < ownVersion());
+    membership.exchangeNow((partner) => partner.configurationVersion < ownVersion());
   });
 
   const pull = async (peerAddress: string): Promise<void> => {
@@ -153,7 +159,7 @@
 
   /** A new instance takes the highest version that its peers have, before it serves. */
   const askAtStart = async (): Promise<void> => {
-    await membership.whenExplored();
+    await membership.whenFirstContactsDone();
     const answers = await askSome({ random, askPeer, addresses: membership.candidateAddresses() });
     for (const { peerAddress, answer } of answers) {
       if (answer.version > ownVersion()) await pull(peerAddress);
--- a/src/core/engine-orders/decide-orders.ts
+++ b/src/core/engine-orders/decide-orders.ts
@@ -1,5 +1,5 @@
 import type { EngineRole } from '../configuration';
-import { rankFor } from '../rendezvous';
+import { rankCandidates } from '../rendezvous';
 import type {
   DecidedOrder,
   EngineSight,
@@ -94,7 +94,7 @@
 /** A further engine that can take a name for the time of a change. */
 function spareEngine(round: Round, name: string): WantedEngine | undefined {
   const byId = new Map(round.plan.engines.map((wanted) => [wanted.engine.engineId, wanted]));
-  return rankFor(name, [...byId.keys()])
+  return rankCandidates(name, [...byId.keys()])
     .flatMap((id) => byId.get(id) ?? [])
     .find(
       (wanted) =>
--- a/src/core/engine-orders/plan-placement.ts
+++ b/src/core/engine-orders/plan-placement.ts
@@ -1,5 +1,5 @@
 import type { BackendServer, Configuration, EngineRole } from '../configuration';
-import { rankFor } from '../rendezvous';
+import { rankCandidates } from '../rendezvous';
 import type { ModelVersion, PlacedEngine, PlacementPlan, WantedEngine } from './types';
 
 /** What a plan is made from. All of it is published, so that instances that read the same plan the same. */
@@ -41,7 +41,7 @@
     .filter(isHere)
     .sort((left, right) => (left.name < right.name ? -1 : 1));
   for (const { name, kind, version: modelVersion, source, engines: count } of wantedModels) {
-    const free = rankFor(name, ids).filter(
+    const free = rankCandidates(name, ids).filter(
       (id) => (models.get(id)?.length ?? 0) < (slots.get(id) ?? 0),
     );
     for (const id of free.slice(0, count)) {
@@ -52,7 +52,7 @@
   const roles = new Map<string, EngineRole>();
   const wantedRoles = placement.roles.filter(isHere);
   for (const { role, engines: count } of wantedRoles) {
-    const free = rankFor(`role/${role}`, ids).filter((id) => !roles.has(id));
+    const free = rankCandidates(`role/${role}`, ids).filter((id) => !roles.has(id));
     for (const id of free.slice(0, count)) roles.set(id, role);
   }
 
--- a/src/core/exchanges/connection-pool.ts
+++ b/src/core/exchanges/connection-pool.ts
@@ -5,20 +5,20 @@
 /** Options for sending one request. */
 export interface SendOptions {
   /** Maximum number of open connections to the address. */
-  readonly mostConnections: number;
+  readonly maxConnections: number;
   readonly connectTimeoutMs: number;
   /**
    * Maximum idle time of a connection that is reused, ms. The server may be closing one that was idle for longer.
    */
-  readonly mostIdleMs: number;
+  readonly maxIdleMs: number;
 }
 
 /** Pool of persistent connections to many addresses. */
 export interface ConnectionPool extends Disposable {
   /** Returns whether a request can be sent to the address without exceeding its maximum number of connections. */
-  hasRoom(address: string, mostConnections: number): boolean;
+  hasCapacity(address: string, maxConnections: number): boolean;
   /** Returns whether an idle connection to the address can be used at once. */
-  hasIdle(address: string, mostIdleMs: number): boolean;
+  hasIdleConnection(address: string, maxIdleMs: number): boolean;
   /** Sends on the most recently used idle connection, or on a new one; undefined if neither is available. */
   send(
     address: string,
@@ -29,7 +29,7 @@
   /** Returns the number of open connections to an address, idle ones included. */
   count(address: string): number;
   /** Closes the idle connections to an address that is no longer used. */
-  forget(address: string): void;
+  closeIdle(address: string): void;
 }
 
 /** How long a connection may stay idle if the other side does not state it, ms. */
@@ -75,9 +75,9 @@
     return connection;
   };
 
-  const hasRoom = (address: string, mostConnections: number): boolean => {
+  const hasCapacity = (address: string, maxConnections: number): boolean => {
     const connections = byAddress.get(address);
-    if (connections === undefined || connections.size < mostConnections) return true;
+    if (connections === undefined || connections.size < maxConnections) return true;
     for (const connection of connections) if (connection.isIdle) return true;
     return false;
   };
@@ -92,23 +92,23 @@
   };
 
   return {
-    hasRoom,
-    hasIdle(address, mostIdleMs) {
+    hasCapacity,
+    hasIdleConnection(address, maxIdleMs) {
       const connections = byAddress.get(address);
-      return connections !== undefined && findIdle(connections, mostIdleMs) !== undefined;
+      return connections !== undefined && findIdle(connections, maxIdleMs) !== undefined;
     },
     send(address, options, request, listener) {
       const connections = connectionsTo(address);
-      const idle = findIdle(connections, options.mostIdleMs);
+      const idle = findIdle(connections, options.maxIdleMs);
       if (idle !== undefined) return idle.send(request, listener);
-      if (connections.size >= options.mostConnections) closeOneIdle(connections);
-      if (connections.size >= options.mostConnections) return undefined;
+      if (connections.size >= options.maxConnections) closeOneIdle(connections);
+      if (connections.size >= options.maxConnections) return undefined;
       // Closing the only connection to the address removes its set from the pool, so the set is looked up again.
       const currentConnections = connectionsTo(address);
       return openNew(address, currentConnections, options.connectTimeoutMs).send(request, listener);
     },
     count: (address) => byAddress.get(address)?.size ?? 0,
-    forget(address) {
+    closeIdle(address) {
       for (const connection of byAddress.get(address) ?? []) {
         if (connection.isIdle) connection[Symbol.dispose]();
       }
--- a/src/core/gossip/create-gossip-board.ts
+++ b/src/core/gossip/create-gossip-store.ts
@@ -1,10 +1,10 @@
 import type { Clock } from '../clock';
 import { createChangeLog } from '../change-log';
 import type { ChangeLog } from '../change-log';
-import type { GossipBoard, GossipEntry, GossipTopic } from './types';
+import type { Gossip, GossipEntry, GossipTopic } from './types';
 
-/** Gossip board including the operations that membership uses to exchange statements with peers. */
-export interface GossipStore extends GossipBoard {
+/** Gossip store including the operations that membership uses to exchange statements with peers. */
+export interface GossipStore extends Gossip {
   /** Stores statements received from a peer and forwards new ones to other peers. */
   receive(entries: readonly GossipEntry[], learnedFrom?: string): void;
   /** Removes expired statements. */
@@ -19,8 +19,8 @@
  */
 const MAX_TTL_MS = 7 * 86_400_000;
 
-/** Creates an empty gossip board for the instance `ownInstanceId`. */
-export function createGossipBoard(ownInstanceId: string, clock: Clock): GossipStore {
+/** Creates an empty gossip store for the instance `ownInstanceId`. */
+export function createGossipStore(ownInstanceId: string, clock: Clock): GossipStore {
   const entries = new Map<string, GossipEntry>();
   const listeners = new Map<GossipTopic, Set<(entry: GossipEntry) => void>>();
   const log = createChangeLog<GossipEntry>();
--- a/src/core/gossip/gossip.test.ts
+++ b/src/core/gossip/gossip.test.ts
@@ -3,7 +3,7 @@
 import { createVirtualFleet } from '../../testing/virtual-fleet';
 import type { VirtualFleet } from '../../testing/virtual-fleet';
 import { createFakeClock } from '../../testing';
-import { createGossipBoard } from './create-gossip-board';
+import { createGossipStore } from './create-gossip-store';
 
 const REGIONS = ['a', 'b', 'c', 'd'];
 
@@ -107,7 +107,7 @@
   // If a machine's clock is years ahead, its statements would never expire.
   it('are rejected if their TTL exceeds a week', () => {
     const clock = createFakeClock();
-    const board = createGossipBoard('a-1', clock);
+    const gossip = createGossipStore('a-1', clock);
     const entry = {
       topic: 'serverMarks' as const,
       key: 's1',
@@ -116,9 +116,9 @@
       regions: undefined,
       payload: '{}',
     };
-    board.receive([{ ...entry, expiresAtUnixMs: clock.unixMs() + 10 * 86_400_000 }], 'a-2');
-    assert.equal(board.entries('serverMarks').length, 0);
-    board.receive([{ ...entry, expiresAtUnixMs: clock.unixMs() + 1_000 }], 'a-2');
-    assert.equal(board.entries('serverMarks').length, 1);
+    gossip.receive([{ ...entry, expiresAtUnixMs: clock.unixMs() + 10 * 86_400_000 }], 'a-2');
+    assert.equal(gossip.entries('serverMarks').length, 0);
+    gossip.receive([{ ...entry, expiresAtUnixMs: clock.unixMs() + 1_000 }], 'a-2');
+    assert.equal(gossip.entries('serverMarks').length, 1);
   });
 });
--- a/src/core/gossip/index.ts
+++ b/src/core/gossip/index.ts
@@ -1,4 +1,4 @@
 /** Gossip: small statements that spread between instances as part of membership messages. */
-export { createGossipBoard } from './create-gossip-board';
-export type { GossipStore } from './create-gossip-board';
-export type { GossipBoard, GossipEntry, GossipStatement, GossipTopic } from './types';
+export { createGossipStore } from './create-gossip-store';
+export type { GossipStore } from './create-gossip-store';
+export type { Gossip, GossipEntry, GossipStatement, GossipTopic } from './types';
--- a/src/core/gossip/types.ts
+++ b/src/core/gossip/types.ts
@@ -18,11 +18,11 @@
   readonly payload: string;
 }
 
-/** Statement as passed to {@link GossipBoard.put}, which adds origin and version. */
+/** Statement as passed to {@link Gossip.put}, which adds origin and version. */
 export type GossipStatement = Omit<GossipEntry, 'origin' | 'version'>;
 
 /** Stores the gossip statements of this instance and of all others. */
-export interface GossipBoard {
+export interface Gossip {
   /** Publishes a statement, replacing the previous one of this instance with the same topic and key. */
   put(statement: GossipStatement): void;
   /** Returns all statements on a topic that have not expired. */
--- a/src/core/host-routes/route-table-store.ts
+++ b/src/core/host-routes/route-table-store.ts
@@ -20,7 +20,7 @@
   /** Puts a table in force if its version is higher than the one in force. Returns whether it did. */
   offer(table: RouteTable): boolean;
   /** Like `offer`, for a rewritten table: different contents under the same version also replace those in force. */
-  offerAgain(table: RouteTable): boolean;
+  offerRewritten(table: RouteTable): boolean;
 }
 
 /**
@@ -41,7 +41,7 @@
     current: () => inForce,
     offer: (table) =>
       inForce === undefined || table.version > inForce.table.version ? putInForce(table) : false,
-    offerAgain(table) {
+    offerRewritten(table) {
       if (inForce === undefined || table.version > inForce.table.version) return putInForce(table);
       const isChanged =
         table.version === inForce.table.version && !isDeepStrictEqual(table, inForce.table);
--- a/src/core/intake/crowd-watch.ts
+++ b/src/core/intake/burst-watch.ts
@@ -1,4 +1,4 @@
-import type { Turns } from './types';
+import type { EventLoopTurns } from './types';
 
 /** Detects whether more connections arrive than the event loop accepts. */
 export interface BurstWatch {
@@ -20,7 +20,7 @@
  * turns, however short the turns are, and not as a late loop: each turn handles little and ends in
  * time, while hundreds of connections wait to be accepted.
  */
-export function createBurstWatch(turns: Turns): BurstWatch {
+export function createBurstWatch(turns: EventLoopTurns): BurstWatch {
   let hasNewConnection = false;
   let hadConnectionInPreviousTurn = false;
   /**
@@ -33,9 +33,9 @@
       hasNewConnection = true;
       latestConnection += 1;
       const thisConnection = latestConnection;
-      turns.atEnd(() => {
+      turns.atTurnEnd(() => {
         hadConnectionInPreviousTurn = true;
-        turns.atEnd(() => {
+        turns.atTurnEnd(() => {
           if (thisConnection === latestConnection) hadConnectionInPreviousTurn = false;
         });
       });
--- a/src/core/intake/create-intake.ts
+++ b/src/core/intake/create-intake.ts
@@ -1,11 +1,11 @@
 import type { Clock } from '../clock';
 import type { Logger } from '../events';
 import type { RandomSource } from '../random';
-import { createBurstWatch } from './crowd-watch';
+import { createBurstWatch } from './burst-watch';
 import { INTAKE_EVENTS } from './events';
 import { createIntakeQueue } from './intake-queue';
 import type { LoopWatch } from './loop-watch';
-import type { Turns, WaitingRequest } from './types';
+import type { EventLoopTurns, WaitingRequest } from './types';
 
 /** Receives requests that have been read, and has them served as fast as this process can. */
 export interface Intake {
@@ -20,10 +20,10 @@
 /** Options of `createIntake`. */
 export interface IntakeOptions {
   readonly clock: Pick<Clock, 'monotonicMs'>;
-  readonly turns: Turns;
+  readonly turns: EventLoopTurns;
   readonly random: RandomSource;
   readonly logger: Logger;
-  readonly watch: Pick<LoopWatch, 'isLate' | 'lagMs'>;
+  readonly loopWatch: Pick<LoopWatch, 'isLate' | 'lagMs'>;
 }
 
 /**
@@ -79,7 +79,7 @@
  * the newest are served first.
  */
 export function createIntake(options: IntakeOptions): Intake {
-  const { clock, turns, random, logger, watch } = options;
+  const { clock, turns, random, logger, loopWatch } = options;
   const queue = createIntakeQueue();
   let backlog: BacklogCounts | undefined;
   let costMs = INITIAL_COST_MS;
@@ -148,11 +148,11 @@
     const nowMs = clock.monotonicMs();
     if (!backlog.isLogged && nowMs - backlog.sinceMs >= LOG_AFTER_MS) {
       backlog.isLogged = true;
-      logger.event(INTAKE_EVENTS.began, { lagMs: Math.round(watch.lagMs()) });
+      logger.event(INTAKE_EVENTS.began, { lagMs: Math.round(loopWatch.lagMs()) });
     }
     if (burstWatch.consumeNewConnection() && nowMs - sliceStartedAtMs < MAX_ACCEPT_MS) {
       queue.endTurn();
-      turns.atEnd(processBacklog);
+      turns.atTurnEnd(processBacklog);
       return;
     }
     updateCost(nowMs);
@@ -162,7 +162,7 @@
     servedInLastSlice = serveSlice(nowMs);
     backlog.served += servedInLastSlice;
     queue.endTurn();
-    if (queue.size() > 0) turns.atEnd(processBacklog);
+    if (queue.size() > 0) turns.atTurnEnd(processBacklog);
     else endBacklog(backlog);
   };
 
@@ -171,14 +171,14 @@
     recordConnection: burstWatch.recordConnection,
     enter(request) {
       const nowMs = clock.monotonicMs();
-      if (backlog === undefined && !watch.isLate(nowMs) && !burstWatch.isBurst()) {
+      if (backlog === undefined && !loopWatch.isLate(nowMs) && !burstWatch.isBurst()) {
         request.serve();
         return;
       }
       queue.add(request);
       if (backlog !== undefined) return;
       backlog = beginBacklog(nowMs);
-      turns.atEnd(processBacklog);
+      turns.atTurnEnd(processBacklog);
     },
   };
 }
--- a/src/core/intake/index.ts
+++ b/src/core/intake/index.ts
@@ -4,4 +4,4 @@
 export { INTAKE_EVENTS } from './events';
 export { createLoopWatch } from './loop-watch';
 export type { LoopWatch } from './loop-watch';
-export type { Turns, WaitingRequest } from './types';
+export type { EventLoopTurns, WaitingRequest } from './types';
--- a/src/core/intake/intake.test.ts
+++ b/src/core/intake/intake.test.ts
@@ -47,13 +47,13 @@
   let nowMs = 0;
   let ends: (() => void)[] = [];
   const logger = createMemoryLogger();
-  const watch = createLoopWatch();
+  const loopWatch = createLoopWatch();
   const intake = createIntake({
     clock: { monotonicMs: () => nowMs },
-    turns: { atEnd: (callback) => ends.push(callback) },
+    turns: { atTurnEnd: (callback) => ends.push(callback) },
     random: createSeededRandom(seed),
     logger,
-    watch,
+    loopWatch,
   });
   const callers = sentAtMs.map((atMs): Caller => {
     const sent = { sentAtMs: atMs };
@@ -79,7 +79,7 @@
 
   const read = (caller: Caller): void => {
     nowMs += READ_COST_MS;
-    const receivedAtMs = nowMs - watch.waitedMs(nowMs);
+    const receivedAtMs = nowMs - loopWatch.waitedMs(nowMs);
     const request = {
       answerDeadlineMs: receivedAtMs + DEADLINE_MS,
       isGone: () => polledAtMs >= caller.sentAtMs + CALLER_TIMEOUT_MS,
@@ -99,7 +99,7 @@
   while (nowMs < lastMs) {
     const turnAtMs = nowMs;
     if (nowMs >= dueAtMs) {
-      watch.noteTick(dueAtMs, nowMs + TICK_MS, nowMs);
+      loopWatch.recordTick(dueAtMs, nowMs + TICK_MS, nowMs);
       dueAtMs = nowMs + TICK_MS;
     }
     polledAtMs = nowMs;
--- a/src/core/intake/loop-watch.ts
+++ b/src/core/intake/loop-watch.ts
@@ -1,7 +1,7 @@
 /** Measures how late the event loop is, from a tick that is due at fixed times. */
 export interface LoopWatch {
   /** Records a tick that was due at `dueAtMs`. */
-  noteTick(dueAtMs: number, nextDueAtMs: number, nowMs: number): void;
+  recordTick(dueAtMs: number, nextDueAtMs: number, nowMs: number): void;
   /** Lag of the loop at its last tick, ms. */
   lagMs(): number;
   /** Whether turns of the loop are so long that requests wait unread. */
@@ -36,7 +36,7 @@
   const overdueMs = (nowMs: number) => Math.max(0, nowMs - nextDueAtMs);
   const isLate = (nowMs: number) => lagMs > MAX_LAG_MS || overdueMs(nowMs) > MAX_LAG_MS;
   return {
-    noteTick(dueAtMs, nextAtMs, nowMs) {
+    recordTick(dueAtMs, nextAtMs, nowMs) {
       lagMs = Math.max(0, nowMs - dueAtMs);
       nextDueAtMs = nextAtMs;
     },
--- a/src/core/intake/types.ts
+++ b/src/core/intake/types.ts
@@ -1,7 +1,7 @@
 /** Defers work from one turn of the event loop to the next. */
-export interface Turns {
+export interface EventLoopTurns {
   /** Calls `callback` after the current turn has handled what it found, before the loop polls again. */
-  atEnd(callback: () => void): void;
+  atTurnEnd(callback: () => void): void;
 }
 
 /** A request that has been read and waits to be served by this process. */
--- a/src/core/load-sharing/create-read-notes.ts
+++ b/src/core/load-sharing/create-cached-parts-buffer.ts
@@ -1,23 +1,23 @@
-import type { ReadParts } from './types';
+import type { CachedParts } from './types';
 
 /** Buffers prompt parts that servers have cached for requests of this instance, until they are sent to the others. */
 export interface CachedPartsBuffer {
   /** Adds parts that a server has cached. */
-  note(incarnationId: string, partIds: readonly string[]): void;
+  add(incarnationId: string, partIds: readonly string[]): void;
   /** Whether there is nothing to send. */
   isEmpty(): boolean;
   /** Returns all parts added since the previous call, and removes them. */
-  drain(): readonly ReadParts[];
+  drain(): readonly CachedParts[];
 }
 
 /** Maximum number of parts per server in one update; the oldest, which matter least, are removed. */
 const MAX_PARTS_PER_SERVER = 200;
 
 /** Creates an empty buffer. */
-export function createReadNotes(): CachedPartsBuffer {
+export function createCachedPartsBuffer(): CachedPartsBuffer {
   const partsByServer = new Map<string, Set<string>>();
   return {
-    note(incarnationId, partIds) {
+    add(incarnationId, partIds) {
       const parts = partsByServer.get(incarnationId) ?? new Set<string>();
       partsByServer.set(incarnationId, parts);
       for (const partId of partIds) {
--- a/src/core/load-sharing/create-load-teller.ts
+++ b/src/core/load-sharing/create-load-broadcaster.ts
@@ -1,11 +1,11 @@
-import type { CachedPartsBuffer } from './create-read-notes';
-import { serializeLoadUpdate } from './statement-message';
+import type { CachedPartsBuffer } from './create-cached-parts-buffer';
+import { serializeLoadUpdate } from './load-update-message';
 import type { InstanceServerLoad } from './types';
 
 /** Broadcasts the open requests of this instance to the other instances of its region. */
 export interface LoadBroadcaster {
   /** Sends an update if the interval has passed and there is something to report. */
-  tell(nowMs: number): void;
+  sendIfDue(nowMs: number): void;
 }
 
 /** Options of a load broadcaster. */
@@ -14,7 +14,7 @@
   /** Returns the current open requests of this instance, per server. */
   readonly servers: () => readonly InstanceServerLoad[];
   /** Prompt parts that have been cached since the last update. */
-  readonly read: Pick<CachedPartsBuffer, 'isEmpty' | 'drain'>;
+  readonly cachedParts: Pick<CachedPartsBuffer, 'isEmpty' | 'drain'>;
   /** Addresses of the other instances of the region. */
   readonly addresses: () => readonly string[];
   readonly send: (address: string, text: string) => void;
@@ -37,30 +37,34 @@
 const HEARTBEAT_INTERVAL_MS = 900;
 
 /** Creates the load broadcaster of one instance. */
-export function createLoadTeller(options: LoadBroadcasterOptions): LoadBroadcaster {
-  const { read } = options;
+export function createLoadBroadcaster(options: LoadBroadcasterOptions): LoadBroadcaster {
+  const { cachedParts } = options;
   let nextSendAtMs = 0;
   let nextHeartbeatAtMs = 0;
   let hadContent = false;
 
   return {
-    tell(nowMs) {
+    sendIfDue(nowMs) {
       if (nowMs < nextSendAtMs) return;
       const addresses = options.addresses();
       if (addresses.length === 0) {
         // Discarded, since the entries would be outdated by the time another instance joins.
-        read.drain();
+        cachedParts.drain();
         return;
       }
       nextSendAtMs =
         nowMs + MIN_INTERVAL_MS * Math.max(1, addresses.length / RECIPIENTS_PER_MIN_INTERVAL);
       const servers = options.servers();
-      const hasContent = servers.length > 0 || !read.isEmpty();
+      const hasContent = servers.length > 0 || !cachedParts.isEmpty();
       // The first update without content reports that all requests have ended.
       if (!hasContent && !hadContent && nowMs < nextHeartbeatAtMs) return;
       hadContent = hasContent;
       nextHeartbeatAtMs = nowMs + HEARTBEAT_INTERVAL_MS;
-      const text = serializeLoadUpdate({ from: options.selfId, servers, read: read.drain() });
+      const text = serializeLoadUpdate({
+        from: options.selfId,
+        servers,
+        cachedParts: cachedParts.drain(),
+      });
       for (const address of addresses) options.send(address, text);
     },
   };
--- a/src/core/load-sharing/create-load-board.ts
+++ b/src/core/load-sharing/create-peer-loads.ts
@@ -1,17 +1,17 @@
 import type { LoadUpdate } from './types';
 
 /** Sums of the open requests that the other instances of the region have at each server. */
-export interface LoadBoard {
+export interface PeerLoads {
   /** Replaces the previous update of the same instance. */
-  take(update: LoadUpdate, nowMs: number): void;
+  receive(update: LoadUpdate, nowMs: number): void;
   /** Returns the number of open requests of the other instances at a server. */
   inFlight(incarnationId: string): number;
   /** Returns the prompt tokens of the other instances' requests at a server that wait for their first byte. */
   pendingTokens(incarnationId: string): number;
   /** Returns the number of instances with an update that has not expired. */
-  heardOf(): number;
+  reportingInstanceCount(): number;
   /** Removes expired updates. */
-  dropOld(nowMs: number): void;
+  removeExpired(nowMs: number): void;
 }
 
 interface Sums {
@@ -40,7 +40,7 @@
  * in streams there would take a second while another server computes no prompt. Each update is complete, so the next
  * one makes up for a lost one.
  */
-export function createLoadBoard(): LoadBoard {
+export function createPeerLoads(): PeerLoads {
   const received = new Map<string, ReceivedUpdate>();
   const sums = new Map<string, Sums>();
 
@@ -62,15 +62,15 @@
   };
 
   return {
-    take(update, nowMs) {
+    receive(update, nowMs) {
       remove(update.from);
       received.set(update.from, { update, atMs: nowMs });
       add(update, 1);
     },
     inFlight: (incarnationId) => Math.max(0, sums.get(incarnationId)?.inFlight ?? 0),
     pendingTokens: (incarnationId) => Math.max(0, sums.get(incarnationId)?.pendingTokens ?? 0),
-    heardOf: () => received.size,
-    dropOld(nowMs) {
+    reportingInstanceCount: () => received.size,
+    removeExpired(nowMs) {
       for (const [from, { atMs }] of received) if (nowMs - atMs > UPDATE_TTL_MS) remove(from);
     },
   };
--- a/src/core/load-sharing/load-sharing.test.ts
+++ b/src/core/load-sharing/load-sharing.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import {
-  createLoadBoard,
-  createLoadTeller,
-  createReadNotes,
-  readStatement,
+  createPeerLoads,
+  createLoadBroadcaster,
+  createCachedPartsBuffer,
+  parseLoadUpdate,
   serializeLoadUpdate,
 } from '.';
 import type { InstanceServerLoad, LoadUpdate } from '.';
@@ -12,32 +12,32 @@
 const SERVER_LOAD: InstanceServerLoad = { incarnationId: 's-1', inFlight: 3, pendingTokens: 9_000 };
 
 function loadUpdate(from: string, servers: readonly InstanceServerLoad[]): LoadUpdate {
-  return { from, servers, read: [] };
+  return { from, servers, cachedParts: [] };
 }
 
 describe('the load of the other instances', () => {
   // Two instances have just sent long prompts to the same server, which no load report shows yet. Without their
   // updates, a third instance would send its prompt there as well, and callers would wait beside an idle server.
   it('is the sum of their latest updates', () => {
-    const peerLoads = createLoadBoard();
-    peerLoads.take(loadUpdate('a', [SERVER_LOAD]), 0);
-    peerLoads.take(loadUpdate('b', [SERVER_LOAD]), 0);
-    peerLoads.take(loadUpdate('b', [{ ...SERVER_LOAD, inFlight: 1, pendingTokens: 500 }]), 100);
+    const peerLoads = createPeerLoads();
+    peerLoads.receive(loadUpdate('a', [SERVER_LOAD]), 0);
+    peerLoads.receive(loadUpdate('b', [SERVER_LOAD]), 0);
+    peerLoads.receive(loadUpdate('b', [{ ...SERVER_LOAD, inFlight: 1, pendingTokens: 500 }]), 100);
     assert.equal(peerLoads.inFlight('s-1'), 4);
     assert.equal(peerLoads.pendingTokens('s-1'), 9_500);
-    peerLoads.take(loadUpdate('a', []), 200);
+    peerLoads.receive(loadUpdate('a', []), 200);
     assert.equal(peerLoads.inFlight('s-1'), 1);
     assert.equal(peerLoads.inFlight('s-2'), 0);
   });
 
   // An instance loses power. If its ended requests still counted, the server would get fewer requests for ever.
   it('excludes instances whose updates have expired', () => {
-    const peerLoads = createLoadBoard();
-    peerLoads.take(loadUpdate('a', [SERVER_LOAD]), 0);
-    peerLoads.take(loadUpdate('b', []), 1_900);
-    peerLoads.dropOld(2_001);
+    const peerLoads = createPeerLoads();
+    peerLoads.receive(loadUpdate('a', [SERVER_LOAD]), 0);
+    peerLoads.receive(loadUpdate('b', []), 1_900);
+    peerLoads.removeExpired(2_001);
     assert.equal(peerLoads.inFlight('s-1'), 0);
-    assert.equal(peerLoads.heardOf(), 1);
+    assert.equal(peerLoads.reportingInstanceCount(), 1);
   });
 });
 
@@ -45,13 +45,13 @@
   function setUp(count: number) {
     const sent: { address: string; update: LoadUpdate | undefined }[] = [];
     let servers: readonly InstanceServerLoad[] = [SERVER_LOAD];
-    const buffer = createReadNotes();
-    const broadcaster = createLoadTeller({
-      read: buffer,
+    const buffer = createCachedPartsBuffer();
+    const broadcaster = createLoadBroadcaster({
+      cachedParts: buffer,
       selfId: 'self',
       servers: () => servers,
       addresses: () => Array.from({ length: count }, (_, index) => `10.0.0.${index}:1`),
-      send: (address, text) => sent.push({ address, update: readStatement(text) }),
+      send: (address, text) => sent.push({ address, update: parseLoadUpdate(text) }),
     });
     const setServers = (next: readonly InstanceServerLoad[]): void => {
       servers = next;
@@ -61,18 +61,18 @@
 
   it('sends cached parts once and open requests with each update', () => {
     const { sent, broadcaster, buffer } = setUp(1);
-    buffer.note('s-1', ['q', 'p', 'q']);
-    broadcaster.tell(0);
-    broadcaster.tell(100);
-    assert.deepEqual(sent[0]?.update?.read, [{ incarnationId: 's-1', partIds: ['p', 'q'] }]);
+    buffer.add('s-1', ['q', 'p', 'q']);
+    broadcaster.sendIfDue(0);
+    broadcaster.sendIfDue(100);
+    assert.deepEqual(sent[0]?.update?.cachedParts, [{ incarnationId: 's-1', partIds: ['p', 'q'] }]);
     assert.deepEqual(sent[1]?.update, loadUpdate('self', [SERVER_LOAD]));
   });
 
   it('reports once that no requests are open, and then only sends heartbeats', () => {
     const { sent, broadcaster, setServers } = setUp(1);
-    broadcaster.tell(0);
+    broadcaster.sendIfDue(0);
     setServers([]);
-    for (let nowMs = 100; nowMs <= 1_900; nowMs += 100) broadcaster.tell(nowMs);
+    for (let nowMs = 100; nowMs <= 1_900; nowMs += 100) broadcaster.sendIfDue(nowMs);
     assert.equal(sent.length, 4);
     assert.deepEqual(sent.at(-1)?.update, loadUpdate('self', []));
   });
@@ -88,7 +88,7 @@
   for (const { others, sentInTwoSeconds } of messageCounts) {
     it(`limits the number of messages with ${others} other instances`, () => {
       const { sent, broadcaster } = setUp(others);
-      for (let nowMs = 0; nowMs < 2_000; nowMs += 50) broadcaster.tell(nowMs);
+      for (let nowMs = 0; nowMs < 2_000; nowMs += 50) broadcaster.sendIfDue(nowMs);
       assert.equal(sent.length, sentInTwoSeconds);
     });
   }
@@ -97,9 +97,9 @@
     const update = {
       from: 'a',
       servers: [SERVER_LOAD],
-      read: [{ incarnationId: 's', partIds: ['p'] }],
+      cachedParts: [{ incarnationId: 's', partIds: ['p'] }],
     };
-    assert.deepEqual(readStatement(serializeLoadUpdate(update)), update);
+    assert.deepEqual(parseLoadUpdate(serializeLoadUpdate(update)), update);
     for (const text of [
       '',
       '{',
@@ -109,7 +109,7 @@
       '["a",[{}],[]]',
       '["a",[["s"]],[]]',
     ]) {
-      assert.equal(readStatement(text), undefined);
+      assert.equal(parseLoadUpdate(text), undefined);
     }
   });
 });
--- a/src/core/load-sharing/statement-message.ts
+++ b/src/core/load-sharing/load-update-message.ts
@@ -15,7 +15,7 @@
 ]);
 
 /** Serializes an update to text. */
-export function serializeLoadUpdate({ from, servers, read }: LoadUpdate): string {
+export function serializeLoadUpdate({ from, servers, cachedParts }: LoadUpdate): string {
   return JSON.stringify([
     from,
     servers.map(({ incarnationId, inFlight, pendingTokens }) => [
@@ -23,12 +23,12 @@
       inFlight,
       pendingTokens,
     ]),
-    read.map(({ incarnationId, partIds }) => [incarnationId, partIds]),
+    cachedParts.map(({ incarnationId, partIds }) => [incarnationId, partIds]),
   ]);
 }
 
 /** Parses an update; returns undefined if the text is not valid. */
-export function readStatement(text: string): LoadUpdate | undefined {
+export function parseLoadUpdate(text: string): LoadUpdate | undefined {
   let parsed: unknown;
   try {
     parsed = JSON.parse(text);
@@ -37,7 +37,7 @@
   }
   const rows = updateSchema.safeParse(parsed).data;
   if (rows === undefined) return undefined;
-  const [from, servers, read] = rows;
+  const [from, servers, cachedParts] = rows;
   return {
     from,
     servers: servers.map(([incarnationId, inFlight, pendingTokens]) => ({
@@ -45,6 +45,6 @@
       inFlight,
       pendingTokens,
     })),
-    read: read.map(([incarnationId, partIds]) => ({ incarnationId, partIds })),
+    cachedParts: cachedParts.map(([incarnationId, partIds]) => ({ incarnationId, partIds })),
   };
 }
--- a/src/core/load-sharing/types.ts
+++ b/src/core/load-sharing/types.ts
@@ -9,7 +9,7 @@
 }
 
 /** Prompt parts that one server has cached for requests of one instance. */
-export interface ReadParts {
+export interface CachedParts {
   readonly incarnationId: string;
   readonly partIds: readonly string[];
 }
@@ -21,5 +21,5 @@
   /** All its open requests; it has none at servers that are not listed. */
   readonly servers: readonly InstanceServerLoad[];
   /** Prompt parts cached since its previous update. */
-  readonly read: readonly ReadParts[];
+  readonly cachedParts: readonly CachedParts[];
 }
--- a/src/core/membership/compose-message.ts
+++ b/src/core/membership/compose-message.ts
@@ -2,7 +2,7 @@
 import type { Change, ChangeLog } from '../change-log';
 import { MAX_LOAD_BYTES, memberBytes, statementBytes } from './messages';
 import type { Cursors, ExchangeMessage } from './messages';
-import { livenessHash } from './liveness-digest';
+import { livenessHash } from './liveness-hash';
 import type { SendBudget } from './send-budget';
 import {
   MAX_LOAD_BYTES_PER_MESSAGE,
--- a/src/core/membership/create-membership.ts
+++ b/src/core/membership/create-membership.ts
@@ -52,7 +52,7 @@
   /** Returns addresses at which other instances may be found, whether or not they are known to be alive. */
   candidateAddresses(): readonly string[];
   /** Resolves once the first addresses have been contacted, with or without success. */
-  whenExplored(): Promise<void>;
+  whenFirstContactsDone(): Promise<void>;
   /** Returns whether no other instance is known, neither from the settings nor from messages. */
   isAlone(): boolean;
   /** Starts the tasks. */
@@ -62,7 +62,7 @@
   /** Reports this instance as leaving from now on. */
   markLeaving(): void;
   /** Exchanges at once with the partners for which `isSelected` returns true, because there is an update for them. */
-  prompt(isSelected: (partner: MemberRecord) => boolean): void;
+  exchangeNow(isSelected: (partner: MemberRecord) => boolean): void;
   /** Calls back for each message received from another instance, with that instance's current record. */
   onContact(listener: (record: MemberRecord) => void): Disposable;
 }
@@ -284,7 +284,7 @@
       ...liveOthers().map((member) => member.peerAddress),
       ...addressesNotAlive(exploreInput()),
     ],
-    whenExplored: () => firstRound,
+    whenFirstContactsDone: () => firstRound,
     isAlone: () => liveOthers().length + addressesNotAlive(exploreInput()).length === 0,
     start() {
       isStarted = true;
@@ -299,7 +299,7 @@
       self.markLeaving();
       partners.wake(() => true);
     },
-    prompt: (isSelected) => partners.wake(isSelected),
+    exchangeNow: (isSelected) => partners.wake(isSelected),
     onContact(listener) {
       contactListeners.add(listener);
       return {
--- a/src/core/membership/member-table.ts
+++ b/src/core/membership/member-table.ts
@@ -2,7 +2,7 @@
 import { createChangeLog } from '../change-log';
 import type { ChangeLog } from '../change-log';
 import { compareLoads, mergeRecords, sameLiveness } from './merge';
-import { memberKey, livenessHash } from './liveness-digest';
+import { memberKey, livenessHash } from './liveness-hash';
 import {
   DEAD_MEMBER_RETENTION_MS,
   FORGOTTEN_LIFE_RETENTION_MS,
--- a/src/core/membership/membership.test.ts
+++ b/src/core/membership/membership.test.ts
@@ -271,7 +271,7 @@
       late.says.configurationVersion = 0;
       await fleet.clock.runFor(3_000);
       late.says.configurationVersion = 7;
-      late.membership.prompt(() => true);
+      late.membership.exchangeNow(() => true);
       await fleet.clock.runFor(600);
       const versions = ids(fleet)
         .filter((viewer) => viewer !== 'late')
--- a/src/core/membership/view.ts
+++ b/src/core/membership/view.ts
@@ -8,7 +8,7 @@
 import type { PeerLink, RequestState } from './peer-link';
 import type { SelfRecord } from './self-record';
 import { createSendBudget } from './send-budget';
-import { memberKey, livenessHash } from './liveness-digest';
+import { memberKey, livenessHash } from './liveness-hash';
 import { LOAD_INTERVAL_PER_MEMBER_MS, MIN_LOAD_INTERVAL_MS } from './timing';
 import type { MemberChange, MemberRecord } from './types';
 import type { GossipStore } from '../gossip';
--- a/src/core/node/create-node.ts
+++ b/src/core/node/create-node.ts
@@ -7,7 +7,7 @@
 import { createEngineClient, runEngineOrders } from '../engine-orders';
 import type { DecisionRecorder } from '../decision-trace';
 import type { Logger } from '../events';
-import { createGossipBoard } from '../gossip';
+import { createGossipStore } from '../gossip';
 import { openHttpEdge } from '../http-edge';
 import { createDisposableStore } from '../lifetime';
 import { createLoadControl } from '../load-control';
@@ -89,7 +89,7 @@
   });
   const connections = owned.add(createPeerConnections(channelCredentials(settings.tls)));
   const metadata = secretMetadata(settings.peerSecret);
-  const gossip = createGossipBoard(instanceId, clock);
+  const gossip = createGossipStore(instanceId, clock);
   const inFlight = createInFlight();
   const sender = owned.add(createServerSender());
   const metrics = createMetrics();
--- a/src/core/node/create-protections.ts
+++ b/src/core/node/create-protections.ts
@@ -5,7 +5,7 @@
 import type { ConfigurationStore } from '../configuration';
 import type { DecisionRecorder } from '../decision-trace';
 import type { Logger } from '../events';
-import type { GossipBoard } from '../gossip';
+import type { Gossip } from '../gossip';
 import type { DisposableStore } from '../lifetime';
 import type { MembershipView } from '../membership';
 import { OUTLIER_EVENTS, createOutlierTracker, createRecordedOutlierTracker } from '../outliers';
@@ -26,7 +26,7 @@
   readonly clock: Clock;
   readonly random: RandomSource;
   readonly logger: Logger;
-  readonly gossip: GossipBoard;
+  readonly gossip: Gossip;
   readonly configuration: ConfigurationStore;
   readonly membership: MembershipView;
   readonly peerSecret: string;
--- a/src/core/operators/open-operator-listener.ts
+++ b/src/core/operators/open-operator-listener.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import createRouter from 'find-my-way';
-import { bearerKey, sameSecret } from '../access';
+import { bearerKey, secretsMatch } from '../access';
 import type { ConfigurationStore } from '../configuration';
 import { ERRORS, errorText, gatewayError } from '../errors';
 import type { Metrics } from '../metrics';
@@ -61,7 +61,7 @@
 
   return (incoming: IncomingMessage, response: ServerResponse): void => {
     const key = bearerKey(incoming.headers.authorization);
-    if (key === undefined || !sameSecret(key, operatorKey)) {
+    if (key === undefined || !secretsMatch(key, operatorKey)) {
       sendJson(response, 401, { title: 'Send "Authorization: Bearer" with the operator key.' });
       return;
     }
--- a/src/core/outliers/index.ts
+++ b/src/core/outliers/index.ts
@@ -3,5 +3,5 @@
 export { keepUsable } from './keep-usable';
 export { createOutlierTracker } from './outlier-tracker';
 export type { OutlierTracker } from './outlier-tracker';
-export { createRecordedOutlierTracker } from './record-tries';
+export { createRecordedOutlierTracker } from './record-attempts';
 export type { Ejection, EjectionReason, ObservedServer, ObservedTry, EjectionState } from './types';
--- a/src/core/pass-through/silence-watch.ts
+++ b/src/core/pass-through/abort-silent-attempts.ts
@@ -11,7 +11,7 @@
 const CHECK_INTERVAL_MS = 300;
 
 /** Options of `abortSilentAttempts`. */
-export interface SilenceWatchOptions {
+export interface AbortSilentAttemptsOptions {
   readonly clock: Clock;
   readonly loads: ServerLoads;
   /** Returns the attempt in progress, if it may be followed by another one. */
@@ -35,7 +35,11 @@
  * arrives any more, and the caller would wait until its deadline. The symptom is a server that
  * sends no data for any request although it has unfinished ones.
  */
-export function abortSilentAttempts({ clock, loads, current }: SilenceWatchOptions): Disposable {
+export function abortSilentAttempts({
+  clock,
+  loads,
+  current,
+}: AbortSilentAttemptsOptions): Disposable {
   let timer: Disposable;
   const checkAttempt = (): void => {
     const nowMs = clock.monotonicMs();
--- a/src/core/pass-through/admission-of-a-fleet.test.ts
+++ b/src/core/pass-through/admission-by-many-instances.test.ts
@@ -5,7 +5,7 @@
   splitBySize,
   inTimeShare,
   simulateAdmission,
-} from './testing/play-admission';
+} from './testing/simulate-admission';
 
 const DURATION_MS = 30_000;
 const SEEDS = [1, 2, 3, 4, 5, 6];
--- a/src/core/pass-through/admission-by-size.test.ts
+++ b/src/core/pass-through/admission-by-size.test.ts
@@ -5,7 +5,7 @@
   splitBySize,
   idleFirstByteMs,
   simulateAdmission,
-} from './testing/play-admission';
+} from './testing/simulate-admission';
 
 const SERVERS = 4;
 const DURATION_MS = 30_000;
--- a/src/core/pass-through/attempt-account.test.ts
+++ b/src/core/pass-through/attempt-budget.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { createAttemptBudget } from './attempt-account';
+import { createAttemptBudget } from './attempt-budget';
 
 describe('attempts reserved for a forwarded request', () => {
   const cases = [
--- a/src/core/pass-through/attempt.ts
+++ b/src/core/pass-through/attempt.ts
@@ -11,7 +11,7 @@
   answerDeadlineMs,
   writePlan,
 } from './forwarding';
-import { classifyAnswer, headerText } from './judge-answer';
+import { classifyAnswer, headerText } from './classify-answer';
 import { observeDestination } from './observe-destination';
 import type { ObservedEnd, SendableDestination } from './observe-destination';
 import { PEER_IDLE_MS } from './other-regions';
@@ -269,7 +269,7 @@
         return;
       case 'neverSent':
         if (to.kind === 'server' && abortedBy === undefined) {
-          router.loads.noteUnreachable(to.server.incarnationId, clock.monotonicMs());
+          router.loads.recordUnreachable(to.server.incarnationId, clock.monotonicMs());
           options.warmCheck.markSuspect(to.server);
         }
         report({ kind: 'neverSent', reason: end.reason }, 'refused');
@@ -292,9 +292,9 @@
     pool.send(
       isServer ? to.server.address : to.peer.forwardAddress,
       {
-        mostConnections: isServer ? to.maxConnections : PEER_MAX_CONNECTIONS,
+        maxConnections: isServer ? to.maxConnections : PEER_MAX_CONNECTIONS,
         connectTimeoutMs: isServer ? CONNECT_TIMEOUT_MS : PEER_CONNECT_TIMEOUT_MS,
-        mostIdleMs: maxIdleMs(options),
+        maxIdleMs: maxIdleMs(options),
       },
       {
         method: request.method,
--- a/src/core/pass-through/quota-gate.ts
+++ b/src/core/pass-through/charge-quota.ts
@@ -53,7 +53,7 @@
 
 /** Charges a request to the quota of its client account, and serves it if the quota allows. */
 export function chargeQuota(
-  quotas: Pick<AccountQuotas, 'require' | 'giveBack'>,
+  quotas: Pick<AccountQuotas, 'authorize' | 'refund'>,
   chargeable: ChargeableRequest,
 ): void {
   const { charge, isGone, serve, refuse, drop } = chargeable;
@@ -62,8 +62,8 @@
     return;
   }
   const { request } = charge;
-  const refund = () => quotas.giveBack(request);
-  quotas.require(request, (decision) => {
+  const refund = () => quotas.refund(request);
+  quotas.authorize(request, (decision) => {
     if (decision.kind !== 'granted') {
       if (!isGone()) refuse(decision);
       else drop();
--- a/src/core/pass-through/crash-watch.ts
+++ b/src/core/pass-through/crash-watch.ts
@@ -32,7 +32,7 @@
 /** Options of `createCrashWatch`. */
 export interface CrashWatchOptions {
   readonly guard: Pick<PoisonGuard, 'verdict' | 'watch'>;
-  readonly check: Pick<WarmCheck, 'ask'>;
+  readonly warmCheck: Pick<WarmCheck, 'ask'>;
   /** All regions of the deployment; used for requests without home regions. */
   readonly regions: () => readonly string[];
 }
@@ -54,9 +54,9 @@
  * crashes would refuse harmless requests that many callers send. So after a reset the server gets a
  * health check, and only counts as crashed if it does not answer or another server has replaced it.
  */
-export function createCrashWatch({ guard, check, regions }: CrashWatchOptions): CrashWatch {
+export function createCrashWatch({ guard, warmCheck, regions }: CrashWatchOptions): CrashWatch {
   const recordIfCrashed = (watched: WatchedTry, target: CrashTarget): void => {
-    check.ask(target.server, target.maxConnections, (result) => {
+    warmCheck.ask(target.server, target.maxConnections, (result) => {
       const isGone = result.kind === 'unanswered' || result.kind === 'replaced';
       if (isGone) watched.failed({ kind: 'lostAfterSending', cause: 'reset' });
       else watched.abandoned();
--- a/src/core/pass-through/create-router.test.ts
+++ b/src/core/pass-through/create-router.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { createRouteTableStore } from '../host-routes';
 import type { RouteTable } from '../host-routes';
-import { createLoadBoard } from '../load-sharing';
+import { createPeerLoads } from '../load-sharing';
 import { createServerRegistry } from '../server-registry';
 import { createRouter } from './create-router';
 import { observeDestination } from './observe-destination';
@@ -82,13 +82,13 @@
       nowMs,
     );
   const router = createRouter({
-    others: createLoadBoard(),
-    onRead() {},
+    otherLoads: createPeerLoads(),
+    onPartsCached() {},
     region: 'north',
     routes,
     servers,
-    pool: { hasRoom: () => true, hasIdle: () => false },
-    coldGate: { isOpen: () => true, noteSent() {}, keepOnly() {} },
+    pool: { hasCapacity: () => true, hasIdleConnection: () => false },
+    coldServerLimiter: { maySend: () => true, recordSent() {}, keepOnly() {} },
     peers: () => peers,
     instancesInRegion: () => 20,
     draw: () => 0,
@@ -168,9 +168,9 @@
     for (let index = 1; index <= 20; index += 1) region.announce(`n-${index}`, 'north-a');
     for (let index = 1; index <= 19; index += 1) {
       for (let failures = 0; failures < 3; failures += 1) {
-        region.router.loads.noteSent(`n-${index}`, 0, 0);
+        region.router.loads.recordSent(`n-${index}`, 0, 0);
         const ended = { hadFirstByte: false, tokens: 0, isFailure: true };
-        region.router.loads.noteEnded(`n-${index}`, ended, 0);
+        region.router.loads.recordEnd(`n-${index}`, ended, 0);
       }
     }
     const to = region.choose();
@@ -201,14 +201,14 @@
     region.announce('n-1', 'north-a');
     region.announce('s-1', 'south-a');
     assert.equal(region.choose().kind, 'server');
-    region.router.loads.noteUnreachable('n-1', 0);
+    region.router.loads.recordUnreachable('n-1', 0);
     assert.equal(region.choose().kind, 'peer');
   });
 
   it('is still tried if no other region helps', () => {
     const region = createNorthInstance([]);
     region.announce('n-1', 'north-a');
-    region.router.loads.noteUnreachable('n-1', 0);
+    region.router.loads.recordUnreachable('n-1', 0);
     assert.equal(region.choose().kind, 'server');
   });
 });
--- a/src/core/pass-through/create-router.ts
+++ b/src/core/pass-through/create-router.ts
@@ -2,19 +2,19 @@
   chooseRegion,
   createPredictionCorrection,
   createPrefixCacheView,
-  createReturnSchedule,
+  createRetryAfterSchedule,
   createServerLoads,
-  createServicePaces,
+  createServiceSpeeds,
   createSizeAdmission,
   createSpillWindows,
 } from '../placement';
-import type { ReadParts } from '../load-sharing';
+import type { CachedParts } from '../load-sharing';
 import type {
   ModelDemand,
   PredictionCorrection,
   PrefixCacheView,
   ServerLoads,
-  ServicePaces,
+  ServiceSpeeds,
   SpillWindows,
 } from '../placement';
 import { requestClassKey } from './forwarding';
@@ -48,14 +48,14 @@
     nowMs: number,
   ): Destination;
   readonly loads: ServerLoads;
-  readonly paces: ServicePaces;
+  readonly speeds: ServiceSpeeds;
   readonly prefixes: PrefixCacheView;
   readonly correction: PredictionCorrection;
   readonly spillWindows: SpillWindows;
-  /** Records that a server has read the prompt of a request from this instance. */
-  recordRead(incarnationId: string, demand: ModelDemand): void;
-  /** Records that servers have read parts of prompts for other instances. */
-  noteReadForOthers(read: readonly ReadParts[]): void;
+  /** Records that a server has cached the prompt of a request from this instance. */
+  recordPrompt(incarnationId: string, demand: ModelDemand): void;
+  /** Records that servers have cached parts of prompts for other instances. */
+  recordPeerCachedParts(parts: readonly CachedParts[]): void;
   /** Drops the records of all server incarnations except the given ones. */
   keepOnly(incarnationIds: ReadonlySet<string>): void;
 }
@@ -63,11 +63,11 @@
 /** Options of `createRouter`. */
 export type RouterOptions = Omit<
   LocalServersOptions,
-  'loads' | 'paces' | 'prefixes' | 'correction'
+  'loads' | 'speeds' | 'prefixes' | 'correction'
 > &
   Omit<OtherRegionsOptions, 'windows'> & {
-    /** Called with the shared prompt parts that a server has read for a request from this instance. */
-    readonly onRead: (incarnationId: string, partIds: readonly string[]) => void;
+    /** Called with the shared prompt parts that a server has cached for a request from this instance. */
+    readonly onPartsCached: (incarnationId: string, partIds: readonly string[]) => void;
   };
 
 /**
@@ -93,27 +93,27 @@
  * regions if requests are better served there.
  */
 export function createRouter(options: RouterOptions): Router {
-  const { coldGate } = options;
+  const { coldServerLimiter } = options;
   const loads = createServerLoads();
-  const paces = createServicePaces();
+  const speeds = createServiceSpeeds();
   const prefixes = createPrefixCacheView();
   const correction = createPredictionCorrection();
   const spillWindows = createSpillWindows();
   const sizeAdmission = createSizeAdmission(options.draw);
-  const retrySchedule = createReturnSchedule(MAX_RETRY_MS);
-  const localServers = createLocalServers({ ...options, loads, paces, prefixes, correction });
+  const retrySchedule = createRetryAfterSchedule(MAX_RETRY_MS);
+  const localServers = createLocalServers({ ...options, loads, speeds, prefixes, correction });
   const otherRegions = createOtherRegions({ ...options, windows: spillWindows });
 
   /** Returns an instance of another region, if the request is better served there. */
   const choosePeer = (
     plan: RequestPlan,
-    localMs: number | undefined,
+    localFirstByteMs: number | undefined,
     tried: TriedDestinations,
   ): ForwardPeer | undefined => {
     // A request is forwarded to another region at most once, so that it cannot circulate.
     if (plan.isForwarded) return undefined;
     const others = otherRegions.options(plan, tried);
-    const chosenRegion = chooseRegion({ localMs, objectiveMs: plan.objectiveMs, others });
+    const chosenRegion = chooseRegion({ localFirstByteMs, objectiveMs: plan.objectiveMs, others });
     return chosenRegion.kind === 'remote'
       ? otherRegions.pickPeer(chosenRegion.region, tried)
       : undefined;
@@ -124,14 +124,14 @@
    * there. Records prompts that are in time, since the admission by size compares late ones to them.
    */
   const isAdmitted = (choice: LocalChoice, plan: RequestPlan, nowMs: number): boolean => {
-    const { predictedMs, ownReadMs } = choice;
+    const { predictedMs, ownPrefillMs } = choice;
     const { objectiveMs } = plan;
     if (predictedMs > plan.deadlineAtMs - nowMs) return false;
     const kind = requestClassKey(plan);
     if (predictedMs > objectiveMs * MAX_OBJECTIVE_MULTIPLE) {
-      return sizeAdmission.letsIn({ kind, predictedMs, ownReadMs, objectiveMs });
+      return sizeAdmission.admits({ kind, predictedMs, ownPrefillMs, objectiveMs });
     }
-    sizeAdmission.noteInTime(kind, ownReadMs);
+    sizeAdmission.recordInTime(kind, ownPrefillMs);
     return true;
   };
 
@@ -146,7 +146,7 @@
     // here would delay the callers of this region.
     const retryAfterMs = plan.isForwarded
       ? minDelayMs
-      : retrySchedule.nextReturnMs(requestClassKey(plan), minDelayMs, nowMs);
+      : retrySchedule.nextRetryAfterMs(requestClassKey(plan), minDelayMs, nowMs);
     return { kind: 'none', reason, retryAfterMs, best };
   };
 
@@ -161,7 +161,7 @@
 
   return {
     loads,
-    paces,
+    speeds,
     prefixes,
     correction,
     spillWindows,
@@ -178,22 +178,22 @@
         return refuse('overloaded', plan, minDelayMs, nowMs, choice);
       }
       const { server } = choice;
-      if (server.coldUntilMs > nowMs) coldGate.noteSent(server.incarnationId, nowMs);
-      retrySchedule.noteAdmitted(requestClassKey(plan), nowMs);
+      if (server.coldUntilMs > nowMs) coldServerLimiter.recordSent(server.incarnationId, nowMs);
+      retrySchedule.recordAdmitted(requestClassKey(plan), nowMs);
       return { kind: 'server', ...choice };
     },
-    recordRead(incarnationId, demand) {
-      prefixes.noteRead(incarnationId, demand);
+    recordPrompt(incarnationId, demand) {
+      prefixes.recordPrompt(incarnationId, demand);
       const shared = demand.parts.slice(0, -1).map(({ partId }) => partId);
-      if (shared.length > 0) options.onRead(incarnationId, shared);
+      if (shared.length > 0) options.onPartsCached(incarnationId, shared);
     },
-    noteReadForOthers(read) {
-      for (const { incarnationId, partIds } of read) prefixes.noteParts(incarnationId, partIds);
+    recordPeerCachedParts(parts) {
+      for (const { incarnationId, partIds } of parts) prefixes.recordParts(incarnationId, partIds);
     },
     keepOnly(known) {
       loads.keepOnly(known);
       prefixes.keepOnly(known);
-      coldGate.keepOnly(known);
+      coldServerLimiter.keepOnly(known);
     },
   };
 }
--- a/src/core/pass-through/local-servers.ts
+++ b/src/core/pass-through/local-servers.ts
@@ -1,18 +1,18 @@
 import type { ConnectionPool } from '../exchanges';
 import type { RouteTableStore, RoutedService } from '../host-routes';
-import type { LoadBoard } from '../load-sharing';
-import { chooseServer, countToLookAt, sampleServers, supplyPrompts } from '../placement';
+import type { PeerLoads } from '../load-sharing';
+import { chooseServer, serverSampleSize, sampleServers, createPrefillPlanner } from '../placement';
 import type {
   Candidate,
   PredictionCorrection,
   PrefixCacheView,
-  PromptSupplies,
-  PromptSupply,
+  PrefillPlanner,
+  PrefillPlan,
   ServerLoads,
-  ServicePaces,
+  ServiceSpeeds,
 } from '../placement';
 import type { KnownServer, ServerRegistry } from '../server-registry';
-import type { ColdGate } from '../shared-budget';
+import type { ColdServerLimiter } from '../shared-budget';
 import { requestClassKey } from './forwarding';
 import type { InboundRequest, RequestPlan, TriedDestinations } from './types';
 
@@ -24,12 +24,12 @@
   /** Predicted time to the first byte before the correction. */
   readonly rawPredictedMs: number;
   /** Part of `predictedMs` that is spent on reading the request's own prompt. */
-  readonly ownReadMs: number;
-  /** Estimated prompt tokens that the server has to read, without those that it copies. */
+  readonly ownPrefillMs: number;
+  /** Estimated prompt tokens that the server has to compute, without those that it copies. */
   readonly tokens: number;
   /** Estimated number of requests at the server. */
   readonly load: number;
-  /** Estimated prompt tokens that the server has yet to read for the requests at it. */
+  /** Estimated prompt tokens that the server has yet to compute for the requests at it. */
   readonly pendingTokens: number;
   /** The server from whose cache the prompt is copied; undefined for none. */
   readonly copyFrom: KnownServer | undefined;
@@ -63,14 +63,14 @@
   readonly region: string;
   readonly routes: RouteTableStore;
   readonly servers: ServerRegistry;
-  readonly pool: Pick<ConnectionPool, 'hasRoom'>;
-  readonly coldGate: ColdGate;
+  readonly pool: Pick<ConnectionPool, 'hasCapacity'>;
+  readonly coldServerLimiter: ColdServerLimiter;
   /** Number of instances of this region, including this one. */
   readonly instancesInRegion: () => number;
   readonly loads: ServerLoads;
   /** Requests that the other instances of this region have in flight at its servers. */
-  readonly others: LoadBoard;
-  readonly paces: ServicePaces;
+  readonly otherLoads: PeerLoads;
+  readonly speeds: ServiceSpeeds;
   readonly prefixes: PrefixCacheView;
   readonly correction: PredictionCorrection;
   /** Returns a random number from 0 (inclusive) to 1 (exclusive). */
@@ -98,8 +98,18 @@
  * the others.
  */
 export function createLocalServers(options: LocalServersOptions): LocalServers {
-  const { region, routes, servers, pool, coldGate, loads, others, paces, prefixes, correction } =
-    options;
+  const {
+    region,
+    routes,
+    servers,
+    pool,
+    coldServerLimiter,
+    loads,
+    otherLoads,
+    speeds,
+    prefixes,
+    correction,
+  } = options;
 
   const maxConnectionsOf = (service: RoutedService | undefined): number => {
     const all = service?.maxConnections ?? DEFAULT_MAX_CONNECTIONS;
@@ -112,29 +122,34 @@
    * the load from the server's latest answers.
    */
   const loadOf = (incarnationId: string, nowMs: number): number => {
-    const hasReportsFromAll = others.heardOf() + 1 >= options.instancesInRegion();
+    const hasReportsFromAll =
+      otherLoads.reportingInstanceCount() + 1 >= options.instancesInRegion();
     return hasReportsFromAll
-      ? loads.ownInFlight(incarnationId) + others.inFlight(incarnationId)
+      ? loads.ownInFlight(incarnationId) + otherLoads.inFlight(incarnationId)
       : loads.load(incarnationId, nowMs);
   };
 
   const pendingTokensOf = (incarnationId: string): number =>
-    loads.pendingTokens(incarnationId) + others.pendingTokens(incarnationId);
+    loads.pendingTokens(incarnationId) + otherLoads.pendingTokens(incarnationId);
 
   const canReceive = (
     server: KnownServer,
     service: RoutedService | undefined,
     nowMs: number,
   ): boolean => {
-    if (!pool.hasRoom(server.address, maxConnectionsOf(service))) return false;
+    if (!pool.hasCapacity(server.address, maxConnectionsOf(service))) return false;
     if (server.coldUntilMs <= nowMs) return true;
-    return coldGate.isOpen(server.incarnationId, service?.coldRequestsPerSecond ?? 0, nowMs);
+    return coldServerLimiter.maySend(
+      server.incarnationId,
+      service?.coldRequestsPerSecond ?? 0,
+      nowMs,
+    );
   };
 
   const toCandidate = (
     server: KnownServer,
     plan: RequestPlan,
-    { uncachedTokens, copyableTokens }: PromptSupply,
+    { uncachedTokens, copyableTokens }: PrefillPlan,
     nowMs: number,
   ): Candidate => {
     const { incarnationId, slots } = server;
@@ -162,13 +177,13 @@
   const sampleCandidates = (
     eligible: readonly KnownServer[],
     request: InboundRequest,
-    supplies: PromptSupplies,
+    planPrefill: PrefillPlanner,
     nowMs: number,
   ): readonly KnownServer[] => {
     const promptTokens = request.demand?.promptTokens ?? 0;
     const holdsPromptPart = ({ incarnationId }: KnownServer) =>
-      supplies(incarnationId).uncachedTokens < promptTokens;
-    const count = countToLookAt(eligible.length, options.instancesInRegion());
+      planPrefill(incarnationId).uncachedTokens < promptTokens;
+    const count = serverSampleSize(eligible.length, options.instancesInRegion());
     const sample = (group: readonly KnownServer[]) => sampleServers(group, count, options.draw);
     const healthy = eligible.filter((server) => !failsOften(server, nowMs));
     const usable = healthy.length > 0 ? healthy : eligible;
@@ -188,12 +203,12 @@
     const service = routes.current()?.table.services.get(plan.service);
     const copyMsPerToken = service?.copyMsPerToken;
     const mayCopy = copyMsPerToken !== undefined;
-    const supplies = supplyPrompts(prefixes, ids, request.demand ?? NO_DEMAND, mayCopy);
-    const candidates = sampleCandidates(eligible, request, supplies, nowMs).map((server) =>
-      toCandidate(server, plan, supplies(server.incarnationId), nowMs),
+    const planPrefill = createPrefillPlanner(prefixes, ids, request.demand ?? NO_DEMAND, mayCopy);
+    const candidates = sampleCandidates(eligible, request, planPrefill, nowMs).map((server) =>
+      toCandidate(server, plan, planPrefill(server.incarnationId), nowMs),
     );
-    const pace = { ...paces.pace(plan.service), copyMsPerToken };
-    const choice = chooseServer(candidates, pace);
+    const speed = { ...speeds.speedOf(plan.service), copyMsPerToken };
+    const choice = chooseServer(candidates, speed);
     const byId = (id: string | undefined) => eligible.find((server) => server.incarnationId === id);
     const server = byId(choice?.incarnationId);
     if (choice === undefined || server === undefined) return undefined;
@@ -202,11 +217,11 @@
       server,
       predictedMs: correction.correct(kind, choice.predictedMs),
       rawPredictedMs: choice.predictedMs,
-      ownReadMs: correction.correct(kind, choice.readTokens * pace.prefillMsPerToken),
-      tokens: choice.readTokens,
+      ownPrefillMs: correction.correct(kind, choice.prefillTokens * speed.prefillMsPerToken),
+      tokens: choice.prefillTokens,
       load: loadOf(server.incarnationId, nowMs),
       pendingTokens: pendingTokensOf(server.incarnationId),
-      copyFrom: byId(supplies(server.incarnationId).copyFrom),
+      copyFrom: byId(planPrefill(server.incarnationId).copyFrom),
       maxConnections: maxConnectionsOf(service),
     };
   };
@@ -221,7 +236,9 @@
         .filter(
           (server) => !tried.ids.has(server.incarnationId) && canReceive(server, service, nowMs),
         );
-      const reachable = eligible.filter((server) => !loads.isBlocked(server.incarnationId, nowMs));
+      const reachable = eligible.filter(
+        (server) => !loads.isBackingOff(server.incarnationId, nowMs),
+      );
       if (reachable.length > 0) {
         return { best: chooseBest(reachable, request, plan, nowMs), unreachable: undefined };
       }
--- a/src/core/pass-through/observe-destination.ts
+++ b/src/core/pass-through/observe-destination.ts
@@ -1,5 +1,5 @@
 import type { Clock } from '../clock';
-import type { LoadReport, SpillSeen } from '../placement';
+import type { LoadReport, SpillResult } from '../placement';
 import type { Destination, Router } from './create-router';
 import { requestClassKey } from './forwarding';
 import type { InboundRequest, RequestPlan } from './types';
@@ -50,14 +50,14 @@
 ): DestinationObserver {
   const { server, tokens, predictedMs } = to;
   const { incarnationId } = server;
-  const { loads, paces, correction } = router;
+  const { loads, speeds, correction } = router;
   const sentAtMs = clock.monotonicMs();
   let hadFirstByte = false;
   let isEndRecorded = false;
-  loads.noteSent(incarnationId, tokens, sentAtMs);
+  loads.recordSent(incarnationId, tokens, sentAtMs);
   return {
     recordLoad(report) {
-      loads.noteReport(incarnationId, report, clock.monotonicMs());
+      loads.recordReport(incarnationId, report, clock.monotonicMs());
     },
     recordFirstByte() {
       if (hadFirstByte) return;
@@ -66,13 +66,13 @@
       const actualMs = nowMs - sentAtMs;
       // On a busy server, the wait for a place in the batch would be counted as prefill time.
       const hasSpareSlots = loads.load(incarnationId, nowMs) < server.slots / 2;
-      if (hasSpareSlots) paces.notePrefill(plan.service, tokens, actualMs);
-      correction.note(requestClassKey(plan), to.rawPredictedMs, actualMs);
-      loads.noteFirstByte(incarnationId, { tokens, predictedMs, actualMs }, nowMs);
-      if (request.demand !== undefined) router.recordRead(incarnationId, request.demand);
+      if (hasSpareSlots) speeds.recordPrefill(plan.service, tokens, actualMs);
+      correction.record(requestClassKey(plan), to.rawPredictedMs, actualMs);
+      loads.recordFirstByte(incarnationId, { tokens, predictedMs, actualMs }, nowMs);
+      if (request.demand !== undefined) router.recordPrompt(incarnationId, request.demand);
     },
     recordData() {
-      loads.noteHeard(incarnationId, clock.monotonicMs());
+      loads.recordReceived(incarnationId, clock.monotonicMs());
     },
     recordEnd(end) {
       if (isEndRecorded) return;
@@ -80,8 +80,8 @@
       const nowMs = clock.monotonicMs();
       const isInconclusive = end === 'inconclusive' || end === 'refused';
       const isFailure = isInconclusive ? undefined : end === 'failed';
-      loads.noteEnded(incarnationId, { hadFirstByte, tokens, isFailure }, nowMs);
-      if (end === 'answered') paces.noteSlotTime(plan.service, nowMs - sentAtMs);
+      loads.recordEnd(incarnationId, { hadFirstByte, tokens, isFailure }, nowMs);
+      if (end === 'answered') speeds.recordSlotTime(plan.service, nowMs - sentAtMs);
     },
     isSilent: () => loads.silentMs(incarnationId, clock.monotonicMs()) >= SERVER_SILENCE_TIMEOUT_MS,
   };
@@ -96,7 +96,7 @@
   const sentAtMs = clock.monotonicMs();
   let isWaiting = true;
   spillWindows.begin(plan.service, region);
-  const endSpill = (seen: SpillSeen): void => {
+  const endSpill = (seen: SpillResult): void => {
     if (!isWaiting) return;
     isWaiting = false;
     spillWindows.end(plan.service, region, seen, clock.monotonicMs());
--- a/src/core/pass-through/open-ingress.ts
+++ b/src/core/pass-through/open-ingress.ts
@@ -1,6 +1,6 @@
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
-import { answerCall, readBody } from '../calls';
+import { handleCall, readBody } from '../calls';
 import type { CallHandlers } from '../calls';
 import type { AccountQuotas, QuotaDecision } from '../account-quotas';
 import type { Clock } from '../clock';
@@ -14,11 +14,11 @@
 import { PASS_THROUGH_EVENTS } from './events';
 import { PLAN_HEADER, answerDeadlineMs, readPlan } from './forwarding';
 import { headerBytes } from './header-bytes';
-import { headerText } from './judge-answer';
+import { headerText } from './classify-answer';
 import { headersToPassOn } from './headers';
 import { createRequestPlanner } from './plan-request';
 import type { ChargedPlan, RefusedPlan } from './plan-request';
-import { chargeQuota } from './quota-gate';
+import { chargeQuota } from './charge-quota';
 import type { ServedRequest } from './request-end';
 import { serveRequest } from './serve-request';
 import type { ServeDependencies } from './serve-request';
@@ -36,10 +36,10 @@
   readonly routes: RouteTableStore;
   readonly retries: RetryAllowance;
   readonly serving: ServeDependencies;
-  readonly quotas: Pick<AccountQuotas, 'require' | 'giveBack'>;
+  readonly quotas: Pick<AccountQuotas, 'authorize' | 'refund'>;
   /** Shared by all listeners of the process. */
   readonly intake: Pick<Intake, 'enter' | 'recordConnection'>;
-  readonly watch: Pick<LoopWatch, 'waitedMs'>;
+  readonly loopWatch: Pick<LoopWatch, 'waitedMs'>;
   /** Whether a planned stop has begun. */
   readonly isLeaving: () => boolean;
   /** Whether to refuse new requests, because too little time remains to answer them. */
@@ -88,7 +88,7 @@
 
 /** Opens a listener that passes requests through to backend servers. */
 export async function openIngress(options: IngressOptions): Promise<Ingress> {
-  const { clock, random, logger, routes, retries, serving, quotas, intake, watch } = options;
+  const { clock, random, logger, routes, retries, serving, quotas, intake, loopWatch } = options;
   const { isLeaving, isRefusing, calls } = options;
   const { dialect } = serving;
   const isForPeer = options.from === 'peers';
@@ -127,7 +127,7 @@
   /** Returns the estimated arrival time of a request that is read from its socket now. */
   const estimateArrivalMs = (): number => {
     const nowMs = clock.monotonicMs();
-    return nowMs - watch.waitedMs(nowMs);
+    return nowMs - loopWatch.waitedMs(nowMs);
   };
 
   const planRequest = createRequestPlanner(dialect, random);
@@ -219,7 +219,7 @@
           return;
       }
       if (response.destroyed) return;
-      if (!plan.isForwarded) retries.noteRequest(plan.service, receivedAtMs);
+      if (!plan.isForwarded) retries.recordRequest(plan.service, receivedAtMs);
       const request = toRequest(incoming, reading.body, receivedAtMs);
       intake.enter({
         answerDeadlineMs: answerDeadlineMs(plan),
@@ -284,7 +284,7 @@
   };
 
   const handle = (incoming: IncomingMessage, response: ServerResponse): void => {
-    if (calls !== undefined && answerCall(calls, incoming, response, logger)) return;
+    if (calls !== undefined && handleCall(calls, incoming, response, logger)) return;
     openRequests += 1;
     response.on('close', () => {
       openRequests -= 1;
--- a/src/core/pass-through/other-regions.ts
+++ b/src/core/pass-through/other-regions.ts
@@ -32,7 +32,7 @@
   readonly region: string;
   readonly servers: ServerRegistry;
   readonly windows: SpillWindows;
-  readonly pool: Pick<ConnectionPool, 'hasIdle'>;
+  readonly pool: Pick<ConnectionPool, 'hasIdleConnection'>;
   /** Returns the other instances that requests may be forwarded to. */
   readonly peers: () => readonly ForwardPeer[];
   /** Returns a random number from 0 (inclusive) to 1 (exclusive). */
@@ -79,14 +79,16 @@
       const peers = options.peers();
       return regionsWithServers(plan)
         .filter((other) => !tried.refusingRegions.has(other))
-        .filter((other) => windows.hasRoom(plan.service, other))
+        .filter((other) => windows.hasCapacity(plan.service, other))
         .map((other) => ({ region: other, utilization: utilization(other, peers) }));
     },
     pickPeer(inRegion, tried) {
       const peers = options
         .peers()
         .filter((peer) => peer.region === inRegion && !tried.ids.has(peer.instanceId));
-      const connected = peers.filter((peer) => pool.hasIdle(peer.forwardAddress, PEER_IDLE_MS));
+      const connected = peers.filter((peer) =>
+        pool.hasIdleConnection(peer.forwardAddress, PEER_IDLE_MS),
+      );
       const choices = connected.length > 0 ? connected : peers;
       return choices[Math.floor(draw() * choices.length)];
     },
--- a/src/core/pass-through/plan-request.ts
+++ b/src/core/pass-through/plan-request.ts
@@ -3,9 +3,9 @@
 import { pickTarget } from '../host-routes';
 import type { HostRoute, RoutesInForce } from '../host-routes';
 import type { RandomSource } from '../random';
-import { headerText } from './judge-answer';
-import { chargeFor } from './quota-gate';
-import type { RequestCharge } from './quota-gate';
+import { headerText } from './classify-answer';
+import { chargeFor } from './charge-quota';
+import type { RequestCharge } from './charge-quota';
 import type { HeaderDialect, RefusalReason, RequestPlan } from './types';
 
 /** Plan of a request, and its charge against the quota of its client account. */
--- a/src/core/pass-through/serve-request.ts
+++ b/src/core/pass-through/serve-request.ts
@@ -4,7 +4,7 @@
 import type { RetryAllowance } from '../shared-budget';
 import { destinationName, startAttempt } from './attempt';
 import type { Attempt, AttemptResult } from './attempt';
-import { createAttemptBudget } from './attempt-account';
+import { createAttemptBudget } from './attempt-budget';
 import type { CrashWatch, CrashWatchedAttempt } from './crash-watch';
 import type { Router } from './create-router';
 import { answerDeadlineMs, isRepeatable } from './forwarding';
@@ -12,7 +12,7 @@
 import { createRequestEnd } from './request-end';
 import type { ServedRequest } from './request-end';
 import { createRequestLog } from './request-log';
-import { abortSilentAttempts } from './silence-watch';
+import { abortSilentAttempts } from './abort-silent-attempts';
 import { createStreamProgress } from './stream-progress';
 import type { StreamProgress } from './stream-progress';
 import type {
--- a/src/core/pass-through/ready-connections.test.ts
+++ b/src/core/pass-through/standby-connections.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { ForwardPeer } from './other-regions';
-import { createReadyConnections } from './ready-connections';
+import { createStandbyConnections } from './standby-connections';
 
 function peersOf(region: string, count: number): ForwardPeer[] {
   return Array.from({ length: count }, (_unused, index) => ({
@@ -15,7 +15,7 @@
 /** Counts the connections that an instance of the region north opens. */
 function countOpened(peers: readonly ForwardPeer[]): Map<string, number> {
   const counts = new Map<string, number>();
-  const connections = createReadyConnections({
+  const connections = createStandbyConnections({
     selfId: 'north-0',
     region: 'north',
     peers: () => peers,
--- a/src/core/pass-through/ready-connections.ts
+++ b/src/core/pass-through/standby-connections.ts
@@ -1,15 +1,15 @@
 import type { ConnectionPool } from '../exchanges';
-import { rankFor } from '../rendezvous';
+import { rankCandidates } from '../rendezvous';
 import type { ForwardPeer } from './other-regions';
 
 /** Keeps connections to instances of other regions open before requests need them. */
-export interface ReadyConnections {
+export interface StandbyConnections {
   /** Opens the missing connections. */
   refill(): void;
 }
 
-/** Options of `createReadyConnections`. */
-export interface ReadyConnectionsOptions {
+/** Options of `createStandbyConnections`. */
+export interface StandbyConnectionsOptions {
   readonly selfId: string;
   readonly region: string;
   readonly pool: Pick<ConnectionPool, 'count' | 'send'>;
@@ -39,7 +39,7 @@
  * chooses partners of its own by a hash, so that the number of connections does not grow with the
  * fleet.
  */
-export function createReadyConnections(options: ReadyConnectionsOptions): ReadyConnections {
+export function createStandbyConnections(options: StandbyConnectionsOptions): StandbyConnections {
   const { selfId, region, pool, path } = options;
 
   const partners = (): readonly ForwardPeer[] => {
@@ -47,7 +47,7 @@
     const regions = [...new Set(others.map((peer) => peer.region))];
     return regions.flatMap((other) => {
       const there = others.filter((peer) => peer.region === other);
-      const ids = rankFor(
+      const ids = rankCandidates(
         selfId,
         there.map((peer) => peer.instanceId),
       ).slice(0, PARTNERS_PER_REGION);
@@ -59,10 +59,10 @@
     pool.send(
       address,
       {
-        mostConnections: CONNECTIONS_PER_PARTNER,
+        maxConnections: CONNECTIONS_PER_PARTNER,
         connectTimeoutMs: CONNECT_TIMEOUT_MS,
         // Reuses no idle connection, so that each of these requests opens a new one.
-        mostIdleMs: -1,
+        maxIdleMs: -1,
       },
       { method: 'GET', path, headers: [], body: new Uint8Array() },
       IGNORING_LISTENER,
--- a/src/core/pass-through/testing/play-admission.ts
+++ b/src/core/pass-through/testing/simulate-admission.ts
@@ -1,6 +1,6 @@
 import { createRouteTableStore } from '../../host-routes';
-import { createLoadBoard } from '../../load-sharing';
-import type { LoadBoard } from '../../load-sharing';
+import { createPeerLoads } from '../../load-sharing';
+import type { PeerLoads } from '../../load-sharing';
 import { createSeededRandom } from '../../random';
 import { createServerRegistry } from '../../server-registry';
 import { createRouter } from '../create-router';
@@ -145,7 +145,7 @@
 interface SimulatedInstance {
   readonly id: string;
   readonly router: Router;
-  readonly others: LoadBoard;
+  readonly otherLoads: PeerLoads;
 }
 
 /** Creates the instances of one region; `restart` replaces one of them with a new one. */
@@ -154,21 +154,21 @@
   const servers = createServers(load.servers);
   let starts = 0;
   const start = (): SimulatedInstance => {
-    const others = createLoadBoard();
+    const otherLoads = createPeerLoads();
     const router = createRouter({
-      onRead() {},
+      onPartsCached() {},
       region: 'north',
       routes,
       servers,
-      others,
-      pool: { hasRoom: () => true, hasIdle: () => true },
-      coldGate: { isOpen: () => true, noteSent() {}, keepOnly() {} },
+      otherLoads,
+      pool: { hasCapacity: () => true, hasIdleConnection: () => true },
+      coldServerLimiter: { maySend: () => true, recordSent() {}, keepOnly() {} },
       peers: () => [],
       instancesInRegion: () => load.instances,
       draw: () => random.next(),
     });
     starts += 1;
-    return { id: `a-${starts}`, router, others };
+    return { id: `a-${starts}`, router, otherLoads };
   };
   const all = Array.from({ length: load.instances }, start);
   return {
@@ -179,10 +179,10 @@
     /** Sends the work in flight of each instance to all others. */
     exchangeReports(nowMs: number) {
       for (const { id, router } of all) {
-        const statement = { from: id, servers: router.loads.ownWork(), read: [] };
-        for (const other of all) if (other.id !== id) other.others.take(statement, nowMs);
+        const update = { from: id, servers: router.loads.ownLoads(), cachedParts: [] };
+        for (const other of all) if (other.id !== id) other.otherLoads.receive(update, nowMs);
       }
-      for (const { others } of all) others.dropOld(nowMs);
+      for (const { otherLoads } of all) otherLoads.removeExpired(nowMs);
     },
   };
 }
--- a/src/core/pass-through/warm-check.ts
+++ b/src/core/pass-through/warm-check.ts
@@ -2,7 +2,7 @@
 import type { AnswerHead, ConnectionPool, Exchange } from '../exchanges';
 import type { RouteTableStore } from '../host-routes';
 import type { KnownServer, ServerRegistry } from '../server-registry';
-import { MISDIRECTED_STATUS, headerText } from './judge-answer';
+import { MISDIRECTED_STATUS, headerText } from './classify-answer';
 import type { HeaderDialect } from './types';
 
 /** Checks with servers themselves whether they are cold, when the published state may not show it. */
@@ -108,9 +108,9 @@
       exchange = pool.send(
         server.address,
         {
-          mostConnections: maxConnections,
+          maxConnections,
           connectTimeoutMs: CONNECT_TIMEOUT_MS,
-          mostIdleMs: MAX_IDLE_MS,
+          maxIdleMs: MAX_IDLE_MS,
         },
         {
           method: 'GET',
@@ -126,7 +126,7 @@
             }
             suspectIds.delete(server.incarnationId);
             const coldMs = coldForMs(head);
-            if (coldMs > 0) servers.noteCold(server.serverId, clock.monotonicMs() + coldMs);
+            if (coldMs > 0) servers.markCold(server.serverId, clock.monotonicMs() + coldMs);
             // The rest of the answer is ignored: a server may be healthy although its answer says
             // otherwise.
             result = { kind: coldMs > 0 ? 'cold' : 'warm' };
--- a/src/core/pauses/pause-guard.test.ts
+++ b/src/core/pauses/pause-guard.test.ts
@@ -129,7 +129,7 @@
       clock,
       membership: {
         usablePeers: () => Array.from({ length: peerCount }, () => ({}) as never),
-        prompt() {
+        exchangeNow() {
           prompts += 1;
         },
         onContact(listener) {
--- a/src/core/pauses/refresh-from-peers.ts
+++ b/src/core/pauses/refresh-from-peers.ts
@@ -7,7 +7,7 @@
 /** What refreshing from peers needs. */
 export interface PeerRefreshOptions {
   readonly clock: Clock;
-  readonly membership: Pick<Membership, 'prompt' | 'onContact' | 'usablePeers'>;
+  readonly membership: Pick<Membership, 'exchangeNow' | 'onContact' | 'usablePeers'>;
   readonly configuration: Pick<ConfigurationStore, 'current'>;
 }
 
@@ -34,7 +34,7 @@
     const listening = membership.onContact(({ configurationVersion }) => {
       heardVersion ??= configurationVersion;
     });
-    membership.prompt(() => true);
+    membership.exchangeNow(() => true);
     const isFresh = () =>
       heardVersion !== undefined && (configuration.current()?.version ?? 0) >= heardVersion;
     while (!isFresh() && !signal.aborted) {
--- a/src/core/peers/credentials.ts
+++ b/src/core/peers/credentials.ts
@@ -1,5 +1,5 @@
 import { ChannelCredentials, Metadata, ServerCredentials } from '@grpc/grpc-js';
-import { sameSecret } from '../access';
+import { secretsMatch } from '../access';
 import type { Settings } from '../settings';
 
 /** How instances prove to one another who they are: the shared secret always, mutual TLS where set. */
@@ -16,7 +16,7 @@
 /** Whether metadata shows the secret. */
 export function showsSecret(metadata: Metadata, peerSecret: string): boolean {
   const [value] = metadata.get(SECRET_HEADER);
-  return typeof value === 'string' && sameSecret(value, `Bearer ${peerSecret}`);
+  return typeof value === 'string' && secretsMatch(value, `Bearer ${peerSecret}`);
 }
 
 /** Credentials for calling peers. */
--- a/src/core/placement/choose-region.ts
+++ b/src/core/placement/choose-region.ts
@@ -8,7 +8,7 @@
 /** Input of the choice between regions. */
 export interface RegionInput {
   /** Predicted time to the first byte in this region, ms; undefined if it has no usable server. */
-  readonly localMs: number | undefined;
+  readonly localFirstByteMs: number | undefined;
   /** Latency objective of the request, ms. */
   readonly objectiveMs: number;
   readonly others: readonly RegionOption[];
@@ -54,12 +54,12 @@
  * and occupy slots that the other region's callers need.
  */
 export function chooseRegion(input: RegionInput): RegionChoice {
-  const { localMs, objectiveMs, others } = input;
-  if (localMs === undefined) {
+  const { localFirstByteMs, objectiveMs, others } = input;
+  if (localFirstByteMs === undefined) {
     const region = leastUtilized(others, MAX_UTILIZATION_WITHOUT_LOCAL_SERVER)?.region;
     return region === undefined ? { kind: 'nowhere' } : { kind: 'remote', region };
   }
-  if (localMs <= objectiveMs * MAX_LOCAL_OBJECTIVE_SHARE) return { kind: 'local' };
+  if (localFirstByteMs <= objectiveMs * MAX_LOCAL_OBJECTIVE_SHARE) return { kind: 'local' };
   const region = leastUtilized(others, MAX_SPILLOVER_UTILIZATION)?.region;
   return region === undefined ? { kind: 'local' } : { kind: 'remote', region };
 }
--- a/src/core/placement/choose-server.ts
+++ b/src/core/placement/choose-server.ts
@@ -43,7 +43,7 @@
   readonly incarnationId: string;
   readonly predictedMs: number;
   /** Estimated prompt tokens that the server has to compute, without those that it copies. */
-  readonly readTokens: number;
+  readonly prefillTokens: number;
 }
 
 /** Returns the best candidate; undefined if there are none. */
@@ -58,7 +58,7 @@
     const costMs = predictedMs + candidate.failureCostMs;
     if (costMs < minCostMs) {
       const { incarnationId, uncachedTokens, copyableTokens } = candidate;
-      best = { incarnationId, predictedMs, readTokens: uncachedTokens - copyableTokens };
+      best = { incarnationId, predictedMs, prefillTokens: uncachedTokens - copyableTokens };
       minCostMs = costMs;
     }
   }
--- a/src/core/placement/placement.test.ts
+++ b/src/core/placement/placement.test.ts
@@ -5,7 +5,7 @@
   chooseServer,
   createPrefixCacheView,
   createServerLoads,
-  createServicePaces,
+  createServiceSpeeds,
 } from '.';
 import type { Candidate } from '.';
 
@@ -83,7 +83,7 @@
         SPEED,
       );
       const { incarnationId } = choice ?? { incarnationId: '' };
-      loads.noteSent(incarnationId, 6_000, 0);
+      loads.recordSent(incarnationId, 6_000, 0);
       requestsByServer.set(incarnationId, (requestsByServer.get(incarnationId) ?? 0) + 1);
     }
     assert.deepEqual([...requestsByServer.values()], [10, 10, 10, 10]);
@@ -106,38 +106,38 @@
   const cases = [
     {
       name: 'stays in the local region while it can serve the request in time',
-      localMs: 300,
+      localFirstByteMs: 300,
       others: [idle],
       to: 'local',
     },
     {
       name: 'selects an idle region if waiting locally would endanger the objective',
-      localMs: 700,
+      localFirstByteMs: 700,
       others: [full, idle],
       to: 'south',
     },
     {
       name: 'stays in the local region if the others are full as well',
-      localMs: 5_000,
+      localFirstByteMs: 5_000,
       others: [full],
       to: 'local',
     },
     {
       name: 'selects another region if the local one has no usable server',
-      localMs: undefined,
+      localFirstByteMs: undefined,
       others: [full],
       to: 'east',
     },
     {
       name: 'selects none if no region has a usable server',
-      localMs: undefined,
+      localFirstByteMs: undefined,
       others: [],
       to: 'nowhere',
     },
   ];
-  for (const { name, localMs, others, to } of cases) {
+  for (const { name, localFirstByteMs, others, to } of cases) {
     it(name, () => {
-      const choice = chooseRegion({ ...input, localMs, others });
+      const choice = chooseRegion({ ...input, localFirstByteMs, others });
       assert.equal(choice.kind === 'remote' ? choice.region : choice.kind, to);
     });
   }
@@ -146,21 +146,21 @@
 describe('the load of a server', () => {
   it('includes requests of other instances as reported by the server, and own requests at once', () => {
     const loads = createServerLoads();
-    loads.noteSent('s-1', 0, 0);
-    loads.noteReport('s-1', { running: 10, waiting: 2, slots: 64 }, 0);
+    loads.recordSent('s-1', 0, 0);
+    loads.recordReport('s-1', { running: 10, waiting: 2, slots: 64 }, 0);
     assert.equal(loads.load('s-1', 0), 12);
-    loads.noteSent('s-1', 0, 0);
+    loads.recordSent('s-1', 0, 0);
     assert.equal(loads.load('s-1', 0), 13);
   });
 
   // A server loses power: it sends nothing, no connection is reset, and each new request would wait there.
   it('includes a delay while requests wait for a first byte and the server is silent', () => {
     const loads = createServerLoads();
-    loads.noteSent('s-1', 0, 0);
+    loads.recordSent('s-1', 0, 0);
     assert.equal(loads.delayMs('s-1', 100), 0);
     assert.ok(loads.delayMs('s-1', 2_000) > 1_000);
     assert.equal(loads.silentMs('s-1', 2_000), 2_000);
-    loads.noteHeard('s-1', 2_000);
+    loads.recordReceived('s-1', 2_000);
     assert.equal(loads.delayMs('s-1', 2_100), 0);
   });
 
@@ -168,8 +168,8 @@
   it('includes the share of failed requests, which decays within seconds', () => {
     const loads = createServerLoads();
     for (let count = 0; count < 40; count += 1) {
-      loads.noteSent('s-1', 0, 0);
-      loads.noteEnded('s-1', { hadFirstByte: false, tokens: 0, isFailure: count % 2 === 0 }, 0);
+      loads.recordSent('s-1', 0, 0);
+      loads.recordEnd('s-1', { hadFirstByte: false, tokens: 0, isFailure: count % 2 === 0 }, 0);
     }
     const share = loads.failureShare('s-1', 0);
     assert.ok(share > 0.3, `${share}`);
@@ -179,20 +179,20 @@
 
   it('applies a growing backoff after each failed connection', () => {
     const loads = createServerLoads();
-    loads.noteUnreachable('s-1', 0);
-    assert.equal(loads.isBlocked('s-1', 249), true);
-    assert.equal(loads.isBlocked('s-1', 250), false);
-    loads.noteUnreachable('s-1', 250);
-    assert.equal(loads.isBlocked('s-1', 700), true);
-    assert.equal(loads.isBlocked('s-1', 750), false);
+    loads.recordUnreachable('s-1', 0);
+    assert.equal(loads.isBackingOff('s-1', 249), true);
+    assert.equal(loads.isBackingOff('s-1', 250), false);
+    loads.recordUnreachable('s-1', 250);
+    assert.equal(loads.isBackingOff('s-1', 700), true);
+    assert.equal(loads.isBackingOff('s-1', 750), false);
   });
 
   // A link loses one packet of each of five connections that are being opened. If each counted as a failure, a healthy
   // server would not be used for seconds.
   it('counts connections that fail at the same time as one failure', () => {
     const loads = createServerLoads();
-    for (let count = 0; count < 5; count += 1) loads.noteUnreachable('s-1', 0);
-    assert.equal(loads.isBlocked('s-1', 250), false);
+    for (let count = 0; count < 5; count += 1) loads.recordUnreachable('s-1', 0);
+    assert.equal(loads.isBackingOff('s-1', 250), false);
   });
 });
 
@@ -209,7 +209,7 @@
   it('counts the parts that were sent to a server, up to the first that was not', () => {
     const view = createPrefixCacheView();
     assert.equal(view.cachedTokens('s-1', demand), 0);
-    view.noteRead('s-1', demand);
+    view.recordPrompt('s-1', demand);
     assert.equal(view.cachedTokens('s-1', demand), 9_190);
     const another = {
       ...demand,
@@ -232,14 +232,14 @@
 
 describe('the speed of a service', () => {
   it('follows the measured values within bounds', () => {
-    const speeds = createServicePaces();
+    const speeds = createServiceSpeeds();
     for (let count = 0; count < 200; count += 1) {
-      speeds.notePrefill('llm', 5_000, 250);
-      speeds.noteSlotTime('llm', 400);
+      speeds.recordPrefill('llm', 5_000, 250);
+      speeds.recordSlotTime('llm', 400);
     }
-    assert.ok(Math.abs(speeds.pace('llm').prefillMsPerToken - 0.05) < 0.002);
-    assert.ok(Math.abs(speeds.pace('llm').slotTimeMs - 400) < 5);
-    for (let count = 0; count < 500; count += 1) speeds.notePrefill('llm', 5_000, 60_000);
-    assert.ok(speeds.pace('llm').prefillMsPerToken <= 0.2);
+    assert.ok(Math.abs(speeds.speedOf('llm').prefillMsPerToken - 0.05) < 0.002);
+    assert.ok(Math.abs(speeds.speedOf('llm').slotTimeMs - 400) < 5);
+    for (let count = 0; count < 500; count += 1) speeds.recordPrefill('llm', 5_000, 60_000);
+    assert.ok(speeds.speedOf('llm').prefillMsPerToken <= 0.2);
   });
 });
--- a/src/core/placement/prediction-correction.ts
+++ b/src/core/placement/prediction-correction.ts
@@ -3,7 +3,7 @@
   /** Returns the corrected prediction; `kind` identifies requests that servers treat alike. */
   correct(kind: string, predictedMs: number): number;
   /** Records the actual time to the first byte of a request. */
-  note(kind: string, predictedMs: number, actualMs: number): void;
+  record(kind: string, predictedMs: number, actualMs: number): void;
 }
 
 interface Sums {
@@ -37,7 +37,7 @@
       const ratio = (actualMs + PRIOR_WEIGHT_MS) / (predicted + PRIOR_WEIGHT_MS);
       return predictedMs * Math.min(MAX_RATIO, Math.max(MIN_RATIO, ratio));
     },
-    note(kind, predictedMs, actualMs) {
+    record(kind, predictedMs, actualMs) {
       const previous = sums.get(kind) ?? { predictedMs: 0, actualMs: 0 };
       sums.set(kind, {
         predictedMs: previous.predictedMs * DECAY + predictedMs,
--- a/src/core/placement/prompt-copies.test.ts
+++ b/src/core/placement/prefill-planner.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { chooseServer, createPrefixCacheView, supplyPrompts } from '.';
+import { chooseServer, createPrefixCacheView, createPrefillPlanner } from '.';
 import type { Candidate, ModelDemand } from '.';
 
 const SPEED = { prefillMsPerToken: 0.03, slotTimeMs: 1_000, copyMsPerToken: 0.004 };
@@ -34,8 +34,8 @@
   // server would have to compute it again and would delay all its streams meanwhile.
   it('is copied by a server that has not cached them', () => {
     const view = createPrefixCacheView();
-    view.noteParts('s-1', ['a', 'b']);
-    const planFor = supplyPrompts(view, IDS, DEMAND, true);
+    view.recordParts('s-1', ['a', 'b']);
+    const planFor = createPrefillPlanner(view, IDS, DEMAND, true);
     assert.deepEqual(planFor('s-2'), {
       uncachedTokens: 9_190,
       copyableTokens: 6_300,
@@ -51,9 +51,9 @@
   for (const { name, parts, mayCopy } of uncopiedCases) {
     it(`is not copied ${name}`, () => {
       const view = createPrefixCacheView();
-      view.noteParts('s-1', parts);
+      view.recordParts('s-1', parts);
       const preferred = view.preferredServer(IDS, DEMAND) ?? '';
-      const plan = supplyPrompts(view, IDS, DEMAND, mayCopy)(preferred);
+      const plan = createPrefillPlanner(view, IDS, DEMAND, mayCopy)(preferred);
       assert.equal(plan.copyFrom, undefined);
     });
   }
@@ -63,7 +63,7 @@
     const view = createPrefixCacheView();
     const preferred = view.preferredServer(IDS, DEMAND);
     const other = IDS.find((id) => id !== preferred) ?? '';
-    assert.equal(supplyPrompts(view, IDS, DEMAND, true)(other).copyFrom, preferred);
+    assert.equal(createPrefillPlanner(view, IDS, DEMAND, true)(other).copyFrom, preferred);
   });
 
   it('is processed by a free server instead of the busy server that has cached them', () => {
--- a/src/core/placement/prompt-copies.ts
+++ b/src/core/placement/prefill-planner.ts
@@ -2,7 +2,7 @@
 import type { ModelDemand } from './types';
 
 /** Tokens of a prompt that a server lacks in its cache, and the neighbour to copy them from. */
-export interface PromptSupply {
+export interface PrefillPlan {
   /** Estimated prompt tokens that are not in the server's cache. */
   readonly uncachedTokens: number;
   /** Uncached tokens that the server can copy from a neighbour. */
@@ -12,7 +12,7 @@
 }
 
 /** Returns which tokens of one request a server would have to compute or could copy. */
-export type PromptSupplies = (incarnationId: string) => PromptSupply;
+export type PrefillPlanner = (incarnationId: string) => PrefillPlan;
 
 /**
  * Minimum number of tokens to copy: setting up a copy takes as long as computing about 200 tokens, and the estimate
@@ -37,12 +37,12 @@
  * server would have to compute them again, which delays all its streams meanwhile; the same shared parts would be
  * computed on each server of a region in turn. Copying from another cache costs an eighth of computing.
  */
-export function supplyPrompts(
+export function createPrefillPlanner(
   view: PrefixCacheView,
   incarnationIds: readonly string[],
   demand: ModelDemand,
   mayCopy: boolean,
-): PromptSupplies {
+): PrefillPlanner {
   const cachedByServer = new Map(incarnationIds.map((id) => [id, view.cachedTokens(id, demand)]));
   const isCacheUnknown = [...cachedByServer.values()].every((tokens) => tokens === 0);
   const preferred = isCacheUnknown ? view.preferredServer(incarnationIds, demand) : undefined;
--- a/src/core/placement/prefix-cache-view.ts
+++ b/src/core/placement/prefix-cache-view.ts
@@ -1,4 +1,4 @@
-import { rankFor } from '../rendezvous';
+import { rankCandidates } from '../rendezvous';
 import type { ModelDemand } from './types';
 
 /** Estimates what the prompt caches of servers hold, based on the prompts that were sent to them. */
@@ -6,9 +6,9 @@
   /** Returns how many tokens from the start of the request's prompt the server has probably cached. */
   cachedTokens(incarnationId: string, demand: ModelDemand): number;
   /** Records that a server has processed the prompt of a request. */
-  noteRead(incarnationId: string, demand: ModelDemand): void;
+  recordPrompt(incarnationId: string, demand: ModelDemand): void;
   /** Records that a server has processed these parts of a prompt. */
-  noteParts(incarnationId: string, partIds: readonly string[]): void;
+  recordParts(incarnationId: string, partIds: readonly string[]): void;
   /** Removes the data of all other servers. */
   keepOnly(incarnationIds: ReadonlySet<string>): void;
   /** Returns the server that all instances prefer for the request's shared parts; undefined if it shares none. */
@@ -32,7 +32,7 @@
     return shared.length === 0 ? undefined : shared.map((part) => part.partId).join(',');
   };
 
-  const noteParts = (incarnationId: string, partIds: readonly string[]): void => {
+  const recordParts = (incarnationId: string, partIds: readonly string[]): void => {
     const cachedParts = partsByServer.get(incarnationId) ?? new Map<string, true>();
     partsByServer.set(incarnationId, cachedParts);
     for (const partId of partIds) {
@@ -46,7 +46,7 @@
   };
 
   return {
-    noteParts,
+    recordParts,
     cachedTokens(incarnationId, demand) {
       const cachedParts = partsByServer.get(incarnationId);
       let cached = 0;
@@ -56,8 +56,8 @@
       }
       return Math.min(demand.promptTokens, cached);
     },
-    noteRead(incarnationId, { parts }) {
-      noteParts(
+    recordPrompt(incarnationId, { parts }) {
+      recordParts(
         incarnationId,
         parts.map(({ partId }) => partId),
       );
@@ -69,7 +69,7 @@
     },
     preferredServer(incarnationIds, demand) {
       const key = sharedPartsKey(demand);
-      return key === undefined ? undefined : rankFor(key, incarnationIds)[0];
+      return key === undefined ? undefined : rankCandidates(key, incarnationIds)[0];
     },
   };
 }
--- a/src/core/placement/return-schedule.ts
+++ b/src/core/placement/retry-after-schedule.ts
@@ -1,9 +1,9 @@
 /** Computes when refused callers should retry. */
-export interface ReturnSchedule {
+export interface RetryAfterSchedule {
   /** Records that a request of this kind was admitted. */
-  noteAdmitted(kind: string, nowMs: number): void;
+  recordAdmitted(kind: string, nowMs: number): void;
   /** Returns the delay after which a refused request of this kind should be retried, ms. */
-  nextReturnMs(kind: string, minDelayMs: number, nowMs: number): number;
+  nextRetryAfterMs(kind: string, minDelayMs: number, nowMs: number): number;
 }
 
 interface KindSchedule {
@@ -31,7 +31,7 @@
  * later. So each refusal is scheduled after the previous one: callers retry in the order of their refusals, no faster
  * than requests of their kind have recently been admitted.
  */
-export function createReturnSchedule(maxDelayMs: number): ReturnSchedule {
+export function createRetryAfterSchedule(maxDelayMs: number): RetryAfterSchedule {
   const kinds = new Map<string, KindSchedule>();
 
   const scheduleOf = (kind: string): KindSchedule => {
@@ -47,7 +47,7 @@
   };
 
   return {
-    noteAdmitted(kind, nowMs) {
+    recordAdmitted(kind, nowMs) {
       const schedule = scheduleOf(kind);
       if (schedule.lastAdmittedAtMs !== undefined) {
         const intervalMs = Math.min(MAX_INTERVAL_MS, nowMs - schedule.lastAdmittedAtMs);
@@ -55,7 +55,7 @@
       }
       schedule.lastAdmittedAtMs = nowMs;
     },
-    nextReturnMs(kind, minDelayMs, nowMs) {
+    nextRetryAfterMs(kind, minDelayMs, nowMs) {
       const schedule = scheduleOf(kind);
       const nextAtMs = schedule.lastRetryAtMs + schedule.meanIntervalMs;
       const retryAtMs = Math.min(nowMs + maxDelayMs, Math.max(nowMs + minDelayMs, nextAtMs));
--- a/src/core/placement/sample-servers.test.ts
+++ b/src/core/placement/sample-servers.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { createSeededRandom } from '../random';
-import { countToLookAt, sampleServers } from './sample-servers';
+import { serverSampleSize, sampleServers } from './sample-servers';
 
 describe('the sample size', () => {
   const cases = [
@@ -14,7 +14,7 @@
   ];
   for (const { servers, instances, count } of cases) {
     it(`is ${count} for one of ${instances} instances with ${servers} servers`, () => {
-      assert.equal(countToLookAt(servers, instances), count);
+      assert.equal(serverSampleSize(servers, instances), count);
     });
   }
 });
--- a/src/core/placement/sample-servers.ts
+++ b/src/core/placement/sample-servers.ts
@@ -13,7 +13,7 @@
 const MIN_SAMPLE_SIZE = 3;
 
 /** Returns how many of the servers an instance evaluates per request; all of them if it is the only instance. */
-export function countToLookAt(serverCount: number, instanceCount: number): number {
+export function serverSampleSize(serverCount: number, instanceCount: number): number {
   return Math.max(MIN_SAMPLE_SIZE, Math.ceil(serverCount / Math.max(1, instanceCount)));
 }
 
--- a/src/core/placement/server-load.ts
+++ b/src/core/placement/server-load.ts
@@ -26,17 +26,17 @@
 /** Tracks the load and health of servers. */
 export interface ServerLoads {
   /** Records that a request is sent, `tokens` of whose prompt the server has to compute. */
-  noteSent(incarnationId: string, tokens: number, nowMs: number): void;
+  recordSent(incarnationId: string, tokens: number, nowMs: number): void;
   /** Records that any byte of a response was received. */
-  noteHeard(incarnationId: string, nowMs: number): void;
+  recordReceived(incarnationId: string, nowMs: number): void;
   /** Records the first byte of a response. */
-  noteFirstByte(incarnationId: string, timing: FirstByteTiming, nowMs: number): void;
+  recordFirstByte(incarnationId: string, timing: FirstByteTiming, nowMs: number): void;
   /** Records the end of a request, whatever its outcome. */
-  noteEnded(incarnationId: string, ended: EndedRequest, nowMs: number): void;
+  recordEnd(incarnationId: string, ended: EndedRequest, nowMs: number): void;
   /** Records a server's own report, which counts the requests of all instances. */
-  noteReport(incarnationId: string, report: LoadReport, nowMs: number): void;
+  recordReport(incarnationId: string, report: LoadReport, nowMs: number): void;
   /** Records that a connection to the server failed. */
-  noteUnreachable(incarnationId: string, nowMs: number): void;
+  recordUnreachable(incarnationId: string, nowMs: number): void;
   /** Returns the estimated number of running and waiting requests of all instances. */
   load(incarnationId: string, nowMs: number): number;
   pendingTokens(incarnationId: string): number;
@@ -46,12 +46,12 @@
   /** Returns the recent share of failed requests, from 0 to 1. */
   failureShare(incarnationId: string, nowMs: number): number;
   /** Whether the server is in backoff after a failed connection. */
-  isBlocked(incarnationId: string, nowMs: number): boolean;
+  isBackingOff(incarnationId: string, nowMs: number): boolean;
   /** Returns the time since the server's last byte, ms; 0 if no request waits for its first byte. */
   silentMs(incarnationId: string, nowMs: number): number;
   totalInFlight(): number;
   /** Returns the open requests of this instance, per server. */
-  ownWork(): readonly OwnServerLoad[];
+  ownLoads(): readonly OwnServerLoad[];
   keepOnly(incarnationIds: ReadonlySet<string>): void;
 }
 
@@ -144,7 +144,7 @@
   };
 
   return {
-    noteSent(incarnationId, tokens, nowMs) {
+    recordSent(incarnationId, tokens, nowMs) {
       const load = loadOf(incarnationId, nowMs);
       if (load.awaitingFirstByte === 0) load.lastByteAtMs = Math.max(load.lastByteAtMs, nowMs);
       load.ownInFlight += 1;
@@ -152,10 +152,10 @@
       load.pendingTokens += tokens;
       total += 1;
     },
-    noteHeard(incarnationId, nowMs) {
+    recordReceived(incarnationId, nowMs) {
       loadOf(incarnationId, nowMs).lastByteAtMs = nowMs;
     },
-    noteFirstByte(incarnationId, { tokens, predictedMs, actualMs }, nowMs) {
+    recordFirstByte(incarnationId, { tokens, predictedMs, actualMs }, nowMs) {
       const load = decay(incarnationId, nowMs);
       load.awaitingFirstByte -= 1;
       load.pendingTokens -= tokens;
@@ -164,7 +164,7 @@
       const lateMs = Math.min(MAX_LATENESS_MS, Math.max(0, actualMs - predictedMs));
       load.latenessMs += (lateMs - load.latenessMs) * NEWEST_SAMPLE_WEIGHT;
     },
-    noteEnded(incarnationId, { hadFirstByte, tokens, isFailure }, nowMs) {
+    recordEnd(incarnationId, { hadFirstByte, tokens, isFailure }, nowMs) {
       const load = loadOf(incarnationId, nowMs);
       load.ownInFlight -= 1;
       total -= 1;
@@ -176,12 +176,12 @@
       const { failureShare } = decay(incarnationId, nowMs);
       load.failureShare += ((isFailure ? 1 : 0) - failureShare) * NEWEST_SAMPLE_WEIGHT;
     },
-    noteReport(incarnationId, { running, waiting }, nowMs) {
+    recordReport(incarnationId, { running, waiting }, nowMs) {
       const load = loadOf(incarnationId, nowMs);
       load.othersInFlight = Math.max(0, running + waiting - load.ownInFlight);
       load.reportedAtMs = nowMs;
     },
-    noteUnreachable(incarnationId, nowMs) {
+    recordUnreachable(incarnationId, nowMs) {
       const load = loadOf(incarnationId, nowMs);
       // Requests that were sent together fail together; they count as one failure.
       if (load.backoffUntilMs > nowMs) return;
@@ -210,10 +210,10 @@
       const load = loads.get(incarnationId);
       return load === undefined ? 0 : load.failureShare * decayFactor(load, nowMs);
     },
-    isBlocked: (incarnationId, nowMs) => (loads.get(incarnationId)?.backoffUntilMs ?? 0) > nowMs,
+    isBackingOff: (incarnationId, nowMs) => (loads.get(incarnationId)?.backoffUntilMs ?? 0) > nowMs,
     silentMs,
     totalInFlight: () => total,
-    ownWork: () =>
+    ownLoads: () =>
       [...loads]
         .filter(([, load]) => load.ownInFlight > 0)
         .map(([incarnationId, { ownInFlight, pendingTokens }]) => ({
--- a/src/core/placement/service-paces.ts
+++ b/src/core/placement/service-speeds.ts
@@ -1,13 +1,13 @@
 import type { ServiceSpeed } from './types';
 
 /** Measures how fast the servers of each service are. */
-export interface ServicePaces {
+export interface ServiceSpeeds {
   /** Returns the speed of a service's servers, or a default until it is measured. */
-  pace(service: string): ServiceSpeed;
+  speedOf(service: string): ServiceSpeed;
   /** Records for how long a request occupied its slot. */
-  noteSlotTime(service: string, durationMs: number): void;
+  recordSlotTime(service: string, durationMs: number): void;
   /** Records the time to the first byte of a prompt with `tokens` uncached tokens on a server with free slots. */
-  notePrefill(service: string, tokens: number, durationMs: number): void;
+  recordPrefill(service: string, tokens: number, durationMs: number): void;
 }
 
 /** Speed assumed until the first sample: an accelerator prefills some tens of tokens per ms, an answer takes 1 s. */
@@ -21,22 +21,22 @@
 const MAX_MS_PER_TOKEN = 0.2;
 
 /** Creates measurements that start from rough defaults. */
-export function createServicePaces(): ServicePaces {
+export function createServiceSpeeds(): ServiceSpeeds {
   const speeds = new Map<string, ServiceSpeed>();
-  const pace = (service: string) => speeds.get(service) ?? INITIAL_SPEED;
+  const speedOf = (service: string) => speeds.get(service) ?? INITIAL_SPEED;
   const blend = (average: number, sample: number) =>
     average + (sample - average) * NEWEST_SAMPLE_WEIGHT;
   return {
-    pace,
-    noteSlotTime(service, durationMs) {
-      const current = pace(service);
+    speedOf,
+    recordSlotTime(service, durationMs) {
+      const current = speedOf(service);
       const isFirst = !speeds.has(service);
       const slotTimeMs = isFirst ? durationMs : blend(current.slotTimeMs, durationMs);
       speeds.set(service, { ...current, slotTimeMs });
     },
-    notePrefill(service, tokens, durationMs) {
+    recordPrefill(service, tokens, durationMs) {
       if (tokens < MIN_SAMPLE_TOKENS) return;
-      const current = pace(service);
+      const current = speedOf(service);
       const sample = Math.min(MAX_MS_PER_TOKEN, Math.max(MIN_MS_PER_TOKEN, durationMs / tokens));
       speeds.set(service, {
         ...current,
--- a/src/core/placement/size-admission.test.ts
+++ b/src/core/placement/size-admission.test.ts
@@ -22,11 +22,11 @@
 ): Decision {
   const predictedMs = waitMs + prefillMs;
   if (predictedMs <= objectiveMs) {
-    admission.noteInTime(KIND, prefillMs);
+    admission.recordInTime(KIND, prefillMs);
     return { prefillMs, wasAdmitted: true };
   }
-  const late = { kind: KIND, predictedMs, ownReadMs: prefillMs, objectiveMs };
-  return { prefillMs, wasAdmitted: admission.letsIn(late) };
+  const late = { kind: KIND, predictedMs, ownPrefillMs: prefillMs, objectiveMs };
+  return { prefillMs, wasAdmitted: admission.admits(late) };
 }
 
 /** Decides on prompts that take 1,000 to 31,000 ms; those above the objective are late only for their size. */
@@ -107,7 +107,7 @@
   for (const { name, prefillMs, waitMs, isAdmitted } of cases) {
     it(`${name} is ${isAdmitted ? 'admitted' : 'refused'} with the lowest random number`, () => {
       const admission = createSizeAdmission(() => 0);
-      for (let count = 0; count < 50; count += 1) admission.noteInTime(KIND, 300);
+      for (let count = 0; count < 50; count += 1) admission.recordInTime(KIND, 300);
       assert.equal(decide(admission, prefillMs, waitMs, objectiveMs).wasAdmitted, isAdmitted);
     });
   }
--- a/src/core/placement/size-admission.ts
+++ b/src/core/placement/size-admission.ts
@@ -5,16 +5,16 @@
   /** Predicted time to its first byte, ms. */
   readonly predictedMs: number;
   /** Part of the predicted time that the prefill of its own prompt takes, ms. */
-  readonly ownReadMs: number;
+  readonly ownPrefillMs: number;
   readonly objectiveMs: number;
 }
 
 /** Decides which late requests are admitted, so that long prompts are not refused far more often than short ones. */
 export interface SizeAdmission {
   /** Records a request that is predicted to meet its objective, and the prefill time of its own prompt, ms. */
-  noteInTime(kind: string, ownReadMs: number): void;
+  recordInTime(kind: string, ownPrefillMs: number): void;
   /** Whether a request that is predicted late is admitted anyway, because only its own size makes it late. */
-  letsIn(request: LateRequest): boolean;
+  admits(request: LateRequest): boolean;
 }
 
 /**
@@ -45,15 +45,15 @@
   const means = new Map<string, Mean>();
 
   return {
-    noteInTime(kind, ownReadMs) {
+    recordInTime(kind, ownPrefillMs) {
       const mean = means.get(kind) ?? { samples: 0, ms: 0 };
       means.set(kind, mean);
       mean.samples = Math.min(MAX_SAMPLES, mean.samples + 1);
-      mean.ms += (ownReadMs - mean.ms) / mean.samples;
+      mean.ms += (ownPrefillMs - mean.ms) / mean.samples;
     },
-    letsIn({ kind, predictedMs, ownReadMs, objectiveMs }) {
-      const typicalPrefillMs = Math.min(ownReadMs, means.get(kind)?.ms ?? 0);
-      const isLateOnlyForItsSize = predictedMs - ownReadMs + typicalPrefillMs <= objectiveMs;
+    admits({ kind, predictedMs, ownPrefillMs, objectiveMs }) {
+      const typicalPrefillMs = Math.min(ownPrefillMs, means.get(kind)?.ms ?? 0);
+      const isLateOnlyForItsSize = predictedMs - ownPrefillMs + typicalPrefillMs <= objectiveMs;
       return isLateOnlyForItsSize && random() < ADMITTED_SHARE;
     },
   };
--- a/src/core/placement/spill-windows.ts
+++ b/src/core/placement/spill-windows.ts
@@ -1,15 +1,15 @@
 /** Limits how many requests of a service may wait for their first byte in each other region. */
 export interface SpillWindows {
   /** Whether another request may be sent to the region. */
-  hasRoom(service: string, region: string): boolean;
+  hasCapacity(service: string, region: string): boolean;
   /** Records that a request is sent to a region. */
   begin(service: string, region: string): void;
   /** Records the first byte, refusal or end of a request, whichever is first. */
-  end(service: string, region: string, result: SpillSeen, nowMs: number): void;
+  end(service: string, region: string, result: SpillResult, nowMs: number): void;
 }
 
 /** Result of a request that was sent to another region. */
-export type SpillSeen =
+export type SpillResult =
   /** The first byte was received after this share of the latency objective; above 1 it was late. */
   | { readonly kind: 'firstByte'; readonly objectiveShare: number }
   /** The region refused the request or failed. */
@@ -51,7 +51,7 @@
 const SLOW_GROWTH_PER_WINDOW = 4;
 
 /** Classifies the capacity of a region by the result of a request. */
-function classify(result: SpillSeen): 'available' | 'neutral' | 'saturated' {
+function classify(result: SpillResult): 'available' | 'neutral' | 'saturated' {
   switch (result.kind) {
     case 'firstByte':
       if (result.objectiveShare > 1) return 'saturated';
@@ -101,7 +101,7 @@
   };
 
   return {
-    hasRoom(service, region) {
+    hasCapacity(service, region) {
       const { waiting, limit } = windowOf(service, region);
       return waiting < Math.floor(limit);
     },
--- a/src/core/poison/poison-guard.test.ts
+++ b/src/core/poison/poison-guard.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { resilienceSchema } from '../configuration';
-import { createGossipBoard } from '../gossip';
+import { createGossipStore } from '../gossip';
 import { createFakeClock, createMemoryLogger } from '../../testing';
 import type { FakeClock } from '../../testing';
 import { POISON_EVENTS } from './events';
@@ -26,7 +26,7 @@
 
 function instance(instanceId: string, clock: FakeClock) {
   const logger = createMemoryLogger();
-  const gossip = createGossipBoard(instanceId, clock);
+  const gossip = createGossipStore(instanceId, clock);
   const guard = createPoisonGuard({ clock, logger, gossip, key: KEY, options: () => OPTIONS });
   const crash = (content: string, serverId: string, attempt = 1) =>
     guard.watch(requestOf(content, attempt), serverId, REGIONS).failed(CRASH);
--- a/src/core/poison/poison-guard.ts
+++ b/src/core/poison/poison-guard.ts
@@ -2,7 +2,7 @@
 import type { PoisonOptions } from '../configuration';
 import type { DecisionRecorder, TraceLineOf } from '../decision-trace';
 import type { Logger } from '../events';
-import type { GossipBoard, GossipEntry } from '../gossip';
+import type { Gossip, GossipEntry } from '../gossip';
 import type { Evidence } from '../outcomes';
 import { createCrashLedger } from './crash-ledger';
 import { POISON_EVENTS } from './events';
@@ -41,7 +41,7 @@
 export interface PoisonGuardOptions {
   readonly clock: Clock;
   readonly logger: Logger;
-  readonly gossip: GossipBoard;
+  readonly gossip: Gossip;
   readonly key: Uint8Array;
   readonly options: () => PoisonOptions;
   /** Takes each decision down, where decisions are recorded. */
--- a/src/core/relay-node/create-serving.ts
+++ b/src/core/relay-node/create-serving-context.ts
@@ -2,17 +2,22 @@
 import type { PoisonOptions } from '../configuration';
 import type { Logger } from '../events';
 import type { ConnectionPool } from '../exchanges';
-import type { GossipBoard } from '../gossip';
+import type { Gossip } from '../gossip';
 import type { RouteTableStore } from '../host-routes';
 import type { DisposableStore } from '../lifetime';
-import { createLoadBoard, createLoadTeller, createReadNotes, readStatement } from '../load-sharing';
+import {
+  createPeerLoads,
+  createLoadBroadcaster,
+  createCachedPartsBuffer,
+  parseLoadUpdate,
+} from '../load-sharing';
 import type { Metrics } from '../metrics';
 import { createCrashWatch, createRouter, createWarmCheck } from '../pass-through';
 import type { HeaderDialect, ServeDependencies, ServedRequest } from '../pass-through';
 import { createPoisonGuard, fingerprintKey } from '../poison';
 import type { RandomSource } from '../random';
 import type { ServerRegistry } from '../server-registry';
-import { createColdGate, createRetryAllowance } from '../shared-budget';
+import { createColdServerLimiter, createRetryAllowance } from '../shared-budget';
 import type { KnownInstances } from './known-instances';
 import type { RelaySettings } from './settings';
 
@@ -27,10 +32,10 @@
   readonly routes: RouteTableStore;
   readonly servers: ServerRegistry;
   readonly pool: ConnectionPool;
-  readonly gossip: GossipBoard;
+  readonly gossip: Gossip;
   readonly metrics: Metrics;
   readonly instances: KnownInstances;
-  /** Sends a statement of this instance's load to another instance of its region. */
+  /** Sends a load update of this instance to another instance of its region. */
   readonly sendStatement: (address: string, text: string) => void;
   /** Monotonic time since which the published state has been followed without a gap; undefined while it is not. */
   readonly followedSinceMs: () => number | undefined;
@@ -63,8 +68,8 @@
 export interface ServingContext extends ServeDependencies {
   /** Drops the state of servers that are no longer registered, which would otherwise accumulate. */
   forgetRemovedServers(): void;
-  /** Applies a load statement received from another instance. */
-  receiveLoadStatement(text: string): void;
+  /** Applies a load update received from another instance. */
+  receiveLoadUpdate(text: string): void;
   /** Sends this instance's load to the other instances of its region if it is due. */
   sendLoad(): void;
 }
@@ -76,16 +81,16 @@
 ): ServingContext {
   const { clock, random, logger, dialect, routes, servers, pool, gossip, instances } = options;
   const { instanceId, region } = options.settings();
-  const loadBoard = createLoadBoard();
-  const readParts = createReadNotes();
+  const peerLoads = createPeerLoads();
+  const cachedParts = createCachedPartsBuffer();
   const router = createRouter({
-    others: loadBoard,
-    onRead: readParts.note,
+    otherLoads: peerLoads,
+    onPartsCached: cachedParts.add,
     region,
     routes,
     servers,
     pool,
-    coldGate: createColdGate({
+    coldServerLimiter: createColdServerLimiter({
       selfId: instanceId,
       startedAtMs: clock.monotonicMs(),
       instancesInRegion: instances.possiblyAliveInRegion,
@@ -94,10 +99,10 @@
     instancesInRegion: instances.countInRegion,
     draw: () => random.next(),
   });
-  const loadSender = createLoadTeller({
+  const loadSender = createLoadBroadcaster({
     selfId: instanceId,
-    servers: router.loads.ownWork,
-    read: readParts,
+    servers: router.loads.ownLoads,
+    cachedParts,
     addresses: () =>
       instances
         .peers()
@@ -118,7 +123,7 @@
   );
   const crashWatch = createCrashWatch({
     guard,
-    check: warmCheck,
+    warmCheck,
     regions: () => [...new Set(Object.values(options.settings().regionOfDomain))],
   });
   const retries = createRetryAllowance(() => options.settings().retryBudget, instances.count);
@@ -131,19 +136,19 @@
     warmCheck,
     crashWatch,
     retries,
-    onReplaced: servers.noteReplaced,
+    onReplaced: servers.markReplaced,
     onDone: createRequestCounter(options.metrics),
     onRefused: (reason, service) => options.metrics.refused(reason, service),
-    receiveLoadStatement(text) {
-      const statement = readStatement(text);
-      if (statement === undefined) return;
-      loadBoard.take(statement, clock.monotonicMs());
-      router.noteReadForOthers(statement.read);
+    receiveLoadUpdate(text) {
+      const update = parseLoadUpdate(text);
+      if (update === undefined) return;
+      peerLoads.receive(update, clock.monotonicMs());
+      router.recordPeerCachedParts(update.cachedParts);
     },
     sendLoad() {
       const nowMs = clock.monotonicMs();
-      loadBoard.dropOld(nowMs);
-      loadSender.tell(nowMs);
+      peerLoads.removeExpired(nowMs);
+      loadSender.sendIfDue(nowMs);
     },
     forgetRemovedServers() {
       const knownIds = new Set(servers.all().map((server) => server.incarnationId));
--- a/src/core/relay-node/exchange-calls.ts
+++ b/src/core/relay-node/exchange-transport.ts
@@ -1,4 +1,4 @@
-import type { CallHandler, Caller } from '../calls';
+import type { CallHandler, CallClient } from '../calls';
 import type { Clock } from '../clock';
 import { ERRORS, errorText, gatewayError } from '../errors';
 import { readExchange, writeExchange } from '../membership';
@@ -15,7 +15,7 @@
 /** Creates a membership transport that sends each exchange as an HTTP call. */
 export function createExchangeTransport(
   clock: Clock,
-  caller: Caller,
+  callClient: CallClient,
   stopping: AbortSignal,
 ): MembershipTransport {
   return {
@@ -28,7 +28,7 @@
         answerByMs,
       } as const;
       try {
-        const { status, text } = await caller.call(peerAddress, call, stopping);
+        const { status, text } = await callClient.call(peerAddress, call, stopping);
         if (status !== OK) throw new Error(`status ${status}`);
         return readExchange(text);
       } catch (error) {
--- a/src/core/relay-node/fetch-peer-state.ts
+++ b/src/core/relay-node/fetch-peer-state.ts
@@ -1,8 +1,8 @@
-import type { Caller } from '../calls';
+import type { CallClient } from '../calls';
 import type { Clock } from '../clock';
 import { errorText } from '../errors';
 import type { Logger } from '../events';
-import { readSnapshot, STATE_SYNC_EVENTS } from '../state-sync';
+import { parseSnapshot, STATE_SYNC_EVENTS } from '../state-sync';
 import type { PublishedState } from '../state-sync';
 
 /** Path on the listener for other instances that returns the published state. */
@@ -19,7 +19,7 @@
 export interface FetchPeerStateDependencies {
   readonly clock: Clock;
   readonly logger: Logger;
-  readonly caller: Caller;
+  readonly caller: CallClient;
 }
 
 /** Fetches the published state that the instance at `address` holds; undefined if it has none or does not reply. */
@@ -35,7 +35,7 @@
       { method: 'GET', path: STATE_PATH, answerByMs },
       signal,
     );
-    return status === OK ? readSnapshot(text) : undefined;
+    return status === OK ? parseSnapshot(text) : undefined;
   } catch (error) {
     logger.event(STATE_SYNC_EVENTS.peerUnavailable, { peer: address, reason: errorText(error) });
     return undefined;
--- a/src/core/relay-node/send-statement.ts
+++ b/src/core/relay-node/send-statement.ts
@@ -24,9 +24,9 @@
     pool.send(
       address,
       {
-        mostConnections: MAX_CONNECTIONS,
+        maxConnections: MAX_CONNECTIONS,
         connectTimeoutMs: CONNECT_TIMEOUT_MS,
-        mostIdleMs: MAX_IDLE_MS,
+        maxIdleMs: MAX_IDLE_MS,
       },
       {
         method: 'POST',
--- a/src/core/relay-node/start-relay-node.ts
+++ b/src/core/relay-node/start-relay-node.ts
@@ -1,5 +1,5 @@
 import { createAccountQuotas } from '../account-quotas';
-import { createCaller, openCallListener } from '../calls';
+import { createCallClient, openCallListener } from '../calls';
 import type { CallHandler } from '../calls';
 import type { CallerLocation } from '../client-directory';
 import { chooseAddresses } from '../client-directory';
@@ -7,25 +7,29 @@
 import { sleepUntil } from '../clock';
 import type { Logger } from '../events';
 import { createConnectionPool } from '../exchanges';
-import { createGossipBoard } from '../gossip';
+import { createGossipStore } from '../gossip';
 import { createRouteTableStore } from '../host-routes';
 import { createDisposableStore } from '../lifetime';
 import type { DisposableStore } from '../lifetime';
 import { createIntake, createLoopWatch } from '../intake';
-import type { Turns } from '../intake';
+import type { EventLoopTurns } from '../intake';
 import { createMembership } from '../membership';
 import { createMetrics } from '../metrics';
 import type { Metrics } from '../metrics';
-import { createReadyConnections, openIngress } from '../pass-through';
+import { createStandbyConnections, openIngress } from '../pass-through';
 import type { HeaderDialect, Ingress } from '../pass-through';
 import type { RandomSource } from '../random';
 import { createServerRegistry } from '../server-registry';
-import { answerWatches, createRelayedSource, createWatcherClient } from '../state-relay';
-import { createStateSync, writeSnapshot } from '../state-sync';
+import { createWatchHandlers, createRelayedSource, createWatcherClient } from '../state-relay';
+import { createStateSync, serializeSnapshot } from '../state-sync';
 import type { StateSource } from '../state-sync';
-import { createServingContext } from './create-serving';
+import { createServingContext } from './create-serving-context';
 import { RELAY_NODE_EVENTS } from './events';
-import { EXCHANGE_PATH, createExchangeHandler, createExchangeTransport } from './exchange-calls';
+import {
+  EXCHANGE_PATH,
+  createExchangeHandler,
+  createExchangeTransport,
+} from './exchange-transport';
 import { PING_PATH, STATE_PATH, fetchPeerState } from './fetch-peer-state';
 import { createKnownInstances } from './known-instances';
 import { repeat } from './repeat';
@@ -39,7 +43,7 @@
 export interface RelayNodeOptions {
   readonly settings: RelaySettings;
   readonly clock: Clock;
-  readonly turns: Turns;
+  readonly turns: EventLoopTurns;
   readonly random: RandomSource;
   readonly logger: Logger;
   readonly dialect: HeaderDialect;
@@ -57,7 +61,7 @@
   /** Begins a planned stop, and resolves when the process may end. */
   stop(): Promise<void>;
   /** Applies changed settings; only those that may change while the instance runs take effect. */
-  apply(settings: RelaySettings): void;
+  applySettings(settings: RelaySettings): void;
 }
 
 /** Key of the request fingerprints that instances of one deployment share; the platform provides no secret. */
@@ -93,11 +97,11 @@
     regionOf: (domain) => settings.regionOfDomain[domain],
     coldStartMs: (service) => routes.current()?.table.services.get(service)?.coldStartMs ?? 0,
     // Connections to the previous process of a server are dead; a request sent over one would be reset.
-    onRestarted: ({ address }) => pool.forget(address),
+    onRestarted: ({ address }) => pool.closeIdle(address),
   });
   const metrics = createMetrics();
-  const gossip = createGossipBoard(instanceId, clock);
-  const caller = createCaller({ clock, pool });
+  const gossip = createGossipStore(instanceId, clock);
+  const caller = createCallClient({ clock, pool });
   const stopping = new AbortController();
   owned.defer(() => stopping.abort());
   let inFlightCount = () => 0;
@@ -152,12 +156,12 @@
       source: relayedSource,
       routes,
       servers,
-      onRoutes: () => membership.prompt(() => true),
-      latestElsewhere: () =>
+      onRoutesChanged: () => membership.exchangeNow(() => true),
+      latestPeerVersion: () =>
         membership
           .usablePeers()
           .reduce((latest, peer) => Math.max(latest, peer.configurationVersion), 0),
-      async askPeer(signal) {
+      async readPeerState(signal) {
         const others = instances.peers();
         const peer = others[Math.floor(random.next() * others.length)];
         return peer === undefined
@@ -174,7 +178,7 @@
       sendLarge: createStatementSender(pool),
     }),
   );
-  const writeState = () => writeSnapshot(sync.snapshot());
+  const serializeState = () => serializeSnapshot(sync.snapshot());
 
   const serving = createServingContext(
     {
@@ -211,16 +215,16 @@
     quotaOf: (account) => routes.current()?.accounts?.byName(account)?.quota,
     send: statements.send,
   });
-  /** Dispatches a received statement: load statements are JSON arrays, quota messages JSON objects. */
+  /** Dispatches a received statement: load updates are JSON arrays, quota messages JSON objects. */
   const receiveStatement = (text: string): void => {
-    if (text.startsWith('{')) quotas.take(text);
-    else serving.receiveLoadStatement(text);
+    if (text.startsWith('{')) quotas.receive(text);
+    else serving.receiveLoadUpdate(text);
   };
   statements.onStatement(receiveStatement);
   inFlightCount = () => router.loads.totalInFlight();
   const requestListeners: Ingress[] = [];
   const loopWatch = createLoopWatch();
-  const intake = createIntake({ clock, turns: options.turns, random, logger, watch: loopWatch });
+  const intake = createIntake({ clock, turns: options.turns, random, logger, loopWatch });
   metrics.gauge('coltsfootworks_loop_lag_ms', 'Lateness of the event loop', loopWatch.lagMs);
   metrics.gauge('coltsfootworks_intake_waiting', 'Requests that wait in the process', intake.size);
   metrics.gauge(
@@ -244,7 +248,7 @@
     serving,
     quotas,
     intake,
-    watch: loopWatch,
+    loopWatch,
     isLeaving: stopState.isLeaving,
     isRefusing: stopState.isRefusing,
   };
@@ -263,10 +267,10 @@
       ...listeners.forwarding,
       from: 'peers',
       calls: new Map<string, CallHandler>([
-        [STATE_PATH, () => ({ status: 200, text: writeState() })],
+        [STATE_PATH, () => ({ status: 200, text: serializeState() })],
         [PING_PATH, () => ({ status: 200, text: '{}' })],
         [STATEMENT_PATH, createStatementHandler(receiveStatement)],
-        ...answerWatches({ ...relayedSource, clock, writeState }),
+        ...createWatchHandlers({ ...relayedSource, clock, serializeState }),
       ]),
     }),
   );
@@ -276,7 +280,7 @@
   callerAddress = `${listeners.callers.host}:${ingress.port}`;
   requestListeners.push(ingress, forwarding);
 
-  const readyConnections = createReadyConnections({
+  const standbyConnections = createStandbyConnections({
     selfId: instanceId,
     region,
     pool,
@@ -289,13 +293,13 @@
   owned.add(repeat(clock, FORGET_INTERVAL_MS, serving.forgetRemovedServers));
   owned.add(
     startTicks(clock, TICK_INTERVAL_MS, (dueAtMs, nextDueAtMs) => {
-      loopWatch.noteTick(dueAtMs, nextDueAtMs, nowMs());
+      loopWatch.recordTick(dueAtMs, nextDueAtMs, nowMs());
       serving.sendLoad();
-      quotas.tell();
+      quotas.sendDueReports();
     }),
   );
   owned.add(repeat(clock, LIMITS_INTERVAL_MS, ingress.applyLimits));
-  owned.add(repeat(clock, REFILL_INTERVAL_MS, readyConnections.refill));
+  owned.add(repeat(clock, REFILL_INTERVAL_MS, standbyConnections.refill));
   logger.event(RELAY_NODE_EVENTS.started, {
     callerAddress,
     peerAddress,
@@ -321,7 +325,7 @@
       while (stopState.step() !== 'exit') await sleepUntil(clock, nowMs() + STOP_CHECK_INTERVAL_MS);
       logger.event(RELAY_NODE_EVENTS.stopped, { openRequests: openRequests() });
     },
-    apply(changed) {
+    applySettings(changed) {
       settings = changed;
       logger.event(RELAY_NODE_EVENTS.settingsChanged, { seeds: changed.seedPeers });
     },
--- a/src/core/relay-node/statement-socket.test.ts
+++ b/src/core/relay-node/statement-socket.test.ts
@@ -15,7 +15,7 @@
   return { socket, logger };
 }
 
-describe('load statements between instances', () => {
+describe('load updates between instances', () => {
   it('arrive as they were sent', async () => {
     const port = await freePort([HOST]);
     const { socket: receiver } = await open(port);
--- a/src/core/rendezvous/index.ts
+++ b/src/core/rendezvous/index.ts
@@ -18,7 +18,7 @@
 }
 
 /** Returns `candidates` ranked for `key`; the first is the chosen one, the next its fallback. */
-export function rankFor(key: string, candidates: readonly string[]): readonly string[] {
+export function rankCandidates(key: string, candidates: readonly string[]): readonly string[] {
   return candidates
     .map((candidate) => ({ candidate, score: hashPair(key, candidate) }))
     .sort((left, right) =>
--- a/src/core/server-health/assign-checks.ts
+++ b/src/core/server-health/assign-checks.ts
@@ -1,4 +1,4 @@
-import { rankFor } from '../rendezvous';
+import { rankCandidates } from '../rendezvous';
 
 /**
  * Number of instances of a region that check each server: two, so that no server goes unchecked while one of them is
@@ -18,5 +18,5 @@
   count: number = CHECKERS_PER_SERVER,
 ): boolean {
   const candidates = liveIds.includes(selfId) ? liveIds : [...liveIds, selfId];
-  return rankFor(duty, candidates).slice(0, count).includes(selfId);
+  return rankCandidates(duty, candidates).slice(0, count).includes(selfId);
 }
--- a/src/core/server-health/create-server-health.ts
+++ b/src/core/server-health/create-server-health.ts
@@ -2,7 +2,7 @@
 import { sleepUntil } from '../clock';
 import type { BackendServer, CompiledConfiguration, ConfigurationStore } from '../configuration';
 import type { Logger } from '../events';
-import type { GossipBoard, GossipEntry } from '../gossip';
+import type { Gossip, GossipEntry } from '../gossip';
 import type { MembershipView } from '../membership';
 import { pickIndex } from '../random';
 import type { RandomSource } from '../random';
@@ -40,7 +40,7 @@
   readonly region: string;
   readonly configuration: ConfigurationStore;
   readonly membership: MembershipView;
-  readonly gossip: GossipBoard;
+  readonly gossip: Gossip;
   readonly probe: ServerProbe;
 }
 
--- a/src/core/server-health/statement-publisher.ts
+++ b/src/core/server-health/statement-publisher.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '../clock';
 import type { Logger } from '../events';
-import type { GossipBoard } from '../gossip';
+import type { Gossip } from '../gossip';
 import { mayReportDown } from './choose-usable';
 import { SERVER_HEALTH_EVENTS } from './events';
 import { STATEMENT_RENEWAL_INTERVAL_MS, statementKey, toGossipStatement } from './marks';
@@ -22,7 +22,7 @@
 export interface StatementPublisherOptions {
   readonly clock: Clock;
   readonly logger: Logger;
-  readonly gossip: GossipBoard;
+  readonly gossip: Gossip;
   readonly region: string;
   readonly table: HealthTable;
   /** Returns the number of servers that this instance checks. */
--- a/src/core/server-registry/create-server-registry.ts
+++ b/src/core/server-registry/create-server-registry.ts
@@ -10,15 +10,15 @@
   keepOnly(serverIds: ReadonlySet<string>): void;
   /** Begins or ends the evacuation of a failure domain. */
   setEvacuated(failureDomain: string, isEvacuated: boolean, nowMs: number): void;
-  evacuated(): readonly string[];
+  evacuatedDomains(): readonly string[];
   get(serverId: string): KnownServer | undefined;
   all(): readonly KnownServer[];
   /** Returns the servers of a service in a region that may be given new work. */
   usable(service: string, region: string): readonly KnownServer[];
   /** Marks a server as cold until the given monotonic time, as the server itself reported. */
-  noteCold(serverId: string, coldUntilMs: number): void;
+  markCold(serverId: string, coldUntilMs: number): void;
   /** Marks a server as replaced: another one answered at its address, so it is gone for good. */
-  noteReplaced(serverId: string): void;
+  markReplaced(serverId: string): void;
 }
 
 /** Options of a server registry. */
@@ -114,18 +114,18 @@
         if (coldMs > 0) set({ ...server, coldUntilMs: nowMs + coldMs });
       }
     },
-    evacuated: () => [...evacuatedDomains],
+    evacuatedDomains: () => [...evacuatedDomains],
     get: (serverId) => servers.get(serverId),
     all: () => [...servers.values()],
     usable(service, region) {
       usableIndex ??= buildUsableIndex();
       return usableIndex.get(indexKey(service, region)) ?? [];
     },
-    noteCold(serverId, coldUntilMs) {
+    markCold(serverId, coldUntilMs) {
       const server = servers.get(serverId);
       if (server !== undefined) set({ ...server, coldUntilMs });
     },
-    noteReplaced(serverId) {
+    markReplaced(serverId) {
       const server = servers.get(serverId);
       if (server !== undefined) set({ ...server, isDraining: true });
     },
--- a/src/core/serving/dependencies.ts
+++ b/src/core/serving/dependencies.ts
@@ -3,7 +3,7 @@
 import type { ConfigurationStore } from '../configuration';
 import type { DecisionRecorder } from '../decision-trace';
 import type { Logger } from '../events';
-import type { GossipBoard } from '../gossip';
+import type { Gossip } from '../gossip';
 import type { LoadControl } from '../load-control';
 import type { MembershipView } from '../membership';
 import type { OutlierTracker } from '../outliers';
@@ -23,7 +23,7 @@
   readonly failureDomain: string;
   readonly configuration: ConfigurationStore;
   readonly membership: MembershipView;
-  readonly gossip: GossipBoard;
+  readonly gossip: Gossip;
   readonly availability: ServerAvailability;
   /** Takes decisions down, where they are recorded. */
   readonly record?: DecisionRecorder | undefined;
--- a/src/core/serving/legs-and-tries.test.ts
+++ b/src/core/serving/legs-and-tries.test.ts
@@ -4,7 +4,7 @@
 import { createMemorySink, sampleConfiguration, sampleRequest } from '../../testing/sample-request';
 import { configurationSchema, resilienceSchema } from '../configuration';
 import type { Service } from '../configuration';
-import { createGossipBoard } from '../gossip';
+import { createGossipStore } from '../gossip';
 import { createPoisonGuard } from '../poison';
 import { createSeededRandom } from '../random';
 import { REFUSALS, RefusalError } from '../refusals';
@@ -55,7 +55,7 @@
     poison: createPoisonGuard({
       clock,
       logger,
-      gossip: createGossipBoard('windhoek-a', clock),
+      gossip: createGossipStore('windhoek-a', clock),
       key: new Uint8Array(32),
       options: () => resilience.poison,
     }),
--- a/src/core/serving/run-attempts.test.ts
+++ b/src/core/serving/run-attempts.test.ts
@@ -4,7 +4,7 @@
 import type { Evidence } from '../outcomes';
 import { createSeededRandom } from '../random';
 import { REFUSALS, RefusalError } from '../refusals';
-import { createGossipBoard } from '../gossip';
+import { createGossipStore } from '../gossip';
 import { createPoisonGuard } from '../poison';
 import { createRetryBudget } from '../retries';
 import { createFakeClock, createMemoryLogger } from '../../testing';
@@ -66,7 +66,7 @@
   const poison = createPoisonGuard({
     clock,
     logger,
-    gossip: createGossipBoard('rundu-a', clock),
+    gossip: createGossipStore('rundu-a', clock),
     key: new Uint8Array(32),
     options: () => resilience.poison,
   });
--- a/src/core/shared-budget/cold-gate.ts
+++ b/src/core/shared-budget/cold-server-limiter.ts
@@ -1,14 +1,14 @@
-import { rankFor } from '../rendezvous';
+import { rankCandidates } from '../rendezvous';
 
 /** Decides whether this instance may send a request to a cold server. */
-export interface ColdGate {
+export interface ColdServerLimiter {
   /**
    * Whether this instance is the one that sends to the server, and its last request was long enough ago. Always true
    * for a rate of 0, which means no limit.
    */
-  isOpen(serverId: string, requestsPerSecond: number, nowMs: number): boolean;
+  maySend(serverId: string, requestsPerSecond: number, nowMs: number): boolean;
   /** Records a request to the server. */
-  noteSent(serverId: string, nowMs: number): void;
+  recordSent(serverId: string, nowMs: number): void;
   /** Removes the data of all other servers. */
   keepOnly(serverIds: ReadonlySet<string>): void;
 }
@@ -29,7 +29,7 @@
 const MS_PER_S = 1_000;
 
 /** Options of a limiter for requests to cold servers. */
-export interface ColdGateOptions {
+export interface ColdServerLimiterOptions {
   readonly selfId: string;
   /** Start of this process, monotonic ms. */
   readonly startedAtMs: number;
@@ -44,18 +44,18 @@
  * would send far more than it can handle, and it would crash again. All instances rank each other by the same hash, so
  * they agree on the sender without messages.
  */
-export function createColdGate(options: ColdGateOptions): ColdGate {
+export function createColdServerLimiter(options: ColdServerLimiterOptions): ColdServerLimiter {
   const lastSentAtMs = new Map<string, number>();
   return {
-    isOpen(serverId, requestsPerSecond, nowMs) {
+    maySend(serverId, requestsPerSecond, nowMs) {
       if (requestsPerSecond <= 0) return true;
       if (nowMs - options.startedAtMs < DISCOVERY_TIME_MS) return false;
-      if (rankFor(serverId, options.instancesInRegion())[0] !== options.selfId) return false;
+      if (rankCandidates(serverId, options.instancesInRegion())[0] !== options.selfId) return false;
       const perSecond = Math.min(requestsPerSecond, MAX_REQUESTS_PER_SECOND_PER_INSTANCE);
       const intervalMs = (MS_PER_S / perSecond) * JITTER_FACTOR;
       return nowMs - (lastSentAtMs.get(serverId) ?? -Infinity) >= intervalMs;
     },
-    noteSent(serverId, nowMs) {
+    recordSent(serverId, nowMs) {
       lastSentAtMs.set(serverId, nowMs);
     },
     keepOnly(serverIds) {
--- a/src/core/shared-budget/retry-budget.ts
+++ b/src/core/shared-budget/retry-budget.ts
@@ -10,7 +10,7 @@
 /** Retries that one instance may send, per service. */
 export interface RetryAllowance {
   /** Records a request of a caller. */
-  noteRequest(service: string, nowMs: number): void;
+  recordRequest(service: string, nowMs: number): void;
   /** Takes one retry from the budget; returns false if none remains. */
   take(service: string, nowMs: number): boolean;
 }
@@ -61,7 +61,7 @@
   };
 
   return {
-    noteRequest(service, nowMs) {
+    recordRequest(service, nowMs) {
       windowAt(service, nowMs).requests += 1;
     },
     take(service, nowMs) {
--- a/src/core/shared-budget/shared-budget.test.ts
+++ b/src/core/shared-budget/shared-budget.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { createColdGate, createRetryAllowance } from '.';
+import { createColdServerLimiter, createRetryAllowance } from '.';
 
 const BUDGET = { ratio: 0.2, slack: 56, windowMs: 10_000 };
 const INSTANCES = 8;
@@ -28,7 +28,7 @@
         let taken = 0;
         for (const allowance of allowances) {
           for (let count = 0; count < requestsPerTick; count += 1) {
-            allowance.noteRequest('app', tick * tickMs);
+            allowance.recordRequest('app', tick * tickMs);
             if (allowance.take('app', tick * tickMs)) taken += 1;
           }
         }
@@ -50,7 +50,7 @@
       () => BUDGET,
       () => 1,
     );
-    allowance.noteRequest('app', 0);
+    allowance.recordRequest('app', 0);
     assert.equal(allowance.take('app', 500_000), true);
   });
 });
@@ -65,13 +65,13 @@
   /** Returns the maximum number of requests in any second if each instance knows the instances in its view. */
   function maxSentPerSecond(views: readonly (readonly string[])[], startedAtMs: number): number {
     const limiters = ids.map((selfId, index) =>
-      createColdGate({ selfId, startedAtMs, instancesInRegion: () => views[index] ?? [] }),
+      createColdServerLimiter({ selfId, startedAtMs, instancesInRegion: () => views[index] ?? [] }),
     );
     const sent: number[] = [];
     for (let nowMs = 0; nowMs < 10_000; nowMs += 10) {
       for (const limiter of limiters) {
-        if (!limiter.isOpen('s-1', ratePerSecond, nowMs)) continue;
-        limiter.noteSent('s-1', nowMs);
+        if (!limiter.maySend('s-1', ratePerSecond, nowMs)) continue;
+        limiter.recordSent('s-1', nowMs);
         sent.push(nowMs);
       }
     }
@@ -94,12 +94,12 @@
   });
 
   it('gets no requests from a process that has just started', () => {
-    const limiter = createColdGate({
+    const limiter = createColdServerLimiter({
       selfId: 'a-1',
       startedAtMs: 1_000,
       instancesInRegion: () => ['a-1'],
     });
-    assert.equal(limiter.isOpen('s-1', ratePerSecond, 3_900), false);
-    assert.equal(limiter.isOpen('s-1', ratePerSecond, 4_000), true);
+    assert.equal(limiter.maySend('s-1', ratePerSecond, 3_900), false);
+    assert.equal(limiter.maySend('s-1', ratePerSecond, 4_000), true);
   });
 });
--- a/src/core/spillover/create-spillover.test.ts
+++ b/src/core/spillover/create-spillover.test.ts
@@ -4,7 +4,7 @@
 import type { Weights } from '../configuration';
 import { createSeededRandom } from '../random';
 import { createSpillover } from './create-spillover';
-import { mayTakeForeign } from './foreign-gate';
+import { mayTakeForeign } from './accept-forwarded';
 import { willingness } from './spill-share';
 import type { HomeOutlook, RemoteRegion, SpilloverDecision } from './types';
 
--- a/src/core/spillover/index.ts
+++ b/src/core/spillover/index.ts
@@ -2,7 +2,7 @@
 export { createSpillover } from './create-spillover';
 export type { Spillover, SpilloverNeeds } from './create-spillover';
 export { SPILLOVER_EVENTS } from './events';
-export { mayTakeForeign } from './foreign-gate';
+export { mayTakeForeign } from './accept-forwarded';
 export { willingness } from './spill-share';
 export type {
   ForwardResult,
--- a/src/core/state-relay/news-pace.test.ts
+++ b/src/core/state-relay/call-pacer.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { createCallPacer } from './news-pace';
+import { createCallPacer } from './call-pacer';
 
 /** Returns the calls that a watcher makes in `forMs` while the source always has changes and answers at once. */
 function countCallsDuringBurst(forMs: number): number {
--- a/src/core/state-relay/choose-watcher.ts
+++ b/src/core/state-relay/choose-watcher.ts
@@ -1,4 +1,4 @@
-import { rankFor } from '../rendezvous';
+import { rankCandidates } from '../rendezvous';
 import type { RelayInstance } from './types';
 
 /**
@@ -27,7 +27,7 @@
   isBackedOff,
 }: WatcherChoiceInput): RelayInstance | undefined {
   const sameDomain = others.filter(({ failureDomain }) => failureDomain === self.failureDomain);
-  const ranking = rankFor(self.failureDomain, [
+  const ranking = rankCandidates(self.failureDomain, [
     self.instanceId,
     ...sameDomain.map(({ instanceId }) => instanceId),
   ]);
--- a/src/core/state-relay/create-relayed-source.test.ts
+++ b/src/core/state-relay/create-relayed-source.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { createFakeClock, createMemoryLogger } from '../../testing';
 import type { Position, PublishedState, StateSource } from '../state-sync';
-import type { WatcherClient } from './ask-watcher';
+import type { WatcherClient } from './watcher-client';
 import { createRelayedSource } from './create-relayed-source';
 
 const state = (position: Position): PublishedState => ({ position, items: [], unreadable: [] });
--- a/src/core/state-relay/create-relayed-source.ts
+++ b/src/core/state-relay/create-relayed-source.ts
@@ -2,14 +2,14 @@
 import type { Clock } from '../clock';
 import type { Logger } from '../events';
 import type { Position, PublishedChanges, PublishedState, StateSource } from '../state-sync';
-import type { WatcherAnswer, WatcherClient } from './ask-watcher';
+import type { WatcherAnswer, WatcherClient } from './watcher-client';
 import { createChangeFeed } from './change-feed';
 import type { ChangeFeed } from './change-feed';
 import { chooseWatcher } from './choose-watcher';
 import { STATE_RELAY_EVENTS } from './events';
-import { createCallPacer } from './news-pace';
+import { createCallPacer } from './call-pacer';
 import type { RelayInstance } from './types';
-import { createWatcherBackoffs } from './watcher-doubts';
+import { createWatcherBackoffs } from './watcher-backoffs';
 
 /** Options of a relayed source. */
 export interface RelayedSourceOptions {
--- a/src/core/state-relay/answer-watches.test.ts
+++ b/src/core/state-relay/watch-handlers.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { createFakeClock } from '../../testing';
-import { CHANGES_PATH, answerWatches } from './answer-watches';
+import { CHANGES_PATH, createWatchHandlers } from './watch-handlers';
 import { createChangeFeed } from './change-feed';
 
 /** Returns the status with which an instance that has read the state at era 2 and revision 10 answers a watch. */
@@ -9,13 +9,13 @@
   const clock = createFakeClock();
   const feed = createChangeFeed();
   feed.restart({ era: 2, revision: 10 });
-  const handlers = answerWatches({
+  const handlers = createWatchHandlers({
     clock,
     feed,
     freshUntilMs: () => Infinity,
-    writeState: () => '{}',
+    serializeState: () => '{}',
   });
-  const call = { query: new URLSearchParams(query), text: '', onGone() {} };
+  const call = { query: new URLSearchParams(query), text: '', onDisconnected() {} };
   return (await handlers.get(CHANGES_PATH)?.(call))?.status;
 }
 
--- a/src/core/state-relay/answer-watches.ts
+++ b/src/core/state-relay/watch-handlers.ts
@@ -17,7 +17,7 @@
   /** Monotonic time until which the local state counts as up to date without another answer of the source. */
   readonly freshUntilMs: () => number;
   /** Serializes the complete published state. */
-  readonly writeState: () => string;
+  readonly serializeState: () => string;
 }
 
 /** Maximum wait of one call, ms. */
@@ -50,7 +50,9 @@
  * requests to servers that have left, although they could have read the changes themselves. A call therefore ends with
  * status 503 as soon as the source has not answered for longer than a watch takes.
  */
-export function answerWatches(options: WatchHandlersOptions): ReadonlyMap<string, CallHandler> {
+export function createWatchHandlers(
+  options: WatchHandlersOptions,
+): ReadonlyMap<string, CallHandler> {
   const { clock, feed, freshUntilMs } = options;
   const isFresh = () => clock.monotonicMs() < freshUntilMs();
 
@@ -76,7 +78,7 @@
     const untilMs = clock.monotonicMs() + query.waitMs;
     const wakeUp = createWakeUp(clock);
     const disconnected = new AbortController();
-    call.onGone(() => disconnected.abort());
+    call.onDisconnected(() => disconnected.abort());
     const subscription = feed.onChanges(wakeUp.wake);
     let answer = currentAnswer(query.after);
     while (answer === undefined && clock.monotonicMs() < untilMs && !disconnected.signal.aborted) {
@@ -88,7 +90,7 @@
   };
 
   const state: CallHandler = () =>
-    isFresh() ? { status: OK, text: options.writeState() } : NOT_FOLLOWING;
+    isFresh() ? { status: OK, text: options.serializeState() } : NOT_FOLLOWING;
 
   return new Map([
     [CHANGES_PATH, watch],
--- a/src/core/state-relay/ask-watcher.ts
+++ b/src/core/state-relay/watcher-client.ts
@@ -1,9 +1,9 @@
-import type { CallAnswer, Caller } from '../calls';
+import type { CallAnswer, CallClient } from '../calls';
 import type { Clock } from '../clock';
-import { parseChanges, readSnapshot } from '../state-sync';
+import { parseChanges, parseSnapshot } from '../state-sync';
 import type { Position, PublishedChanges, PublishedState } from '../state-sync';
-import { CHANGES_PATH, FOLLOWED_STATE_PATH } from './answer-watches';
-import type { WatcherFault } from './watcher-doubts';
+import { CHANGES_PATH, FOLLOWED_STATE_PATH } from './watch-handlers';
+import type { WatcherFault } from './watcher-backoffs';
 
 /** Result of a call to another instance as a watcher. */
 export type WatcherAnswer<Value> =
@@ -30,7 +30,7 @@
 const UNAVAILABLE = 503;
 
 /** Creates a client for watchers. */
-export function createWatcherClient(clock: Clock, callClient: Caller): WatcherClient {
+export function createWatcherClient(clock: Clock, callClient: CallClient): WatcherClient {
   const request = async <Value>(
     address: string,
     path: string,
@@ -68,7 +68,7 @@
         FOLLOWED_STATE_PATH,
         clock.monotonicMs() + READ_TIMEOUT_MS,
         signal,
-        ({ status, text }) => (status === OK ? readSnapshot(text) : undefined),
+        ({ status, text }) => (status === OK ? parseSnapshot(text) : undefined),
       ),
   };
 }
--- a/src/core/state-sync/create-state-sync.ts
+++ b/src/core/state-sync/create-state-sync.ts
@@ -5,9 +5,9 @@
 import type { RouteTableStore } from '../host-routes';
 import type { RandomSource } from '../random';
 import type { ServerRegistry } from '../server-registry';
-import { createServerQuarantine } from './doubted-entries';
+import { createServerQuarantine } from './server-quarantine';
 import { STATE_SYNC_EVENTS } from './events';
-import { createRoutesCatchUp } from './later-routes';
+import { createRoutesCatchUp } from './routes-catch-up';
 import { isLater } from './position';
 import type { Position } from './position';
 import type {
@@ -29,11 +29,11 @@
   readonly routes: RouteTableStore;
   readonly servers: ServerRegistry;
   /** Called after another version of the routes has come into force. */
-  readonly onRoutes?: () => void;
+  readonly onRoutesChanged?: () => void;
   /** Reads the state of another instance while the source is unavailable; undefined if none answers. Never rejects. */
-  readonly askPeer: (signal: AbortSignal) => Promise<PublishedState | undefined>;
+  readonly readPeerState: (signal: AbortSignal) => Promise<PublishedState | undefined>;
   /** Returns the highest version of the routes known to be in force at another instance; 0 if none is known. */
-  readonly latestElsewhere: () => number;
+  readonly latestPeerVersion: () => number;
 }
 
 /** A local copy of published state, kept up to date by watching the source. */
@@ -116,7 +116,7 @@
 
   const setEvacuated = (failureDomain: string, isEvacuated: boolean): void => {
     pendingEvacuationEnds.cancel(failureDomain);
-    if (servers.evacuated().includes(failureDomain) === isEvacuated) return;
+    if (servers.evacuatedDomains().includes(failureDomain) === isEvacuated) return;
     servers.setEvacuated(failureDomain, isEvacuated, clock.monotonicMs());
     logger.event(STATE_SYNC_EVENTS.evacuationChanged, { failureDomain, isEvacuated });
   };
@@ -131,7 +131,7 @@
     if (inForce !== undefined && table.version < inForce) {
       logger.event(STATE_SYNC_EVENTS.olderRoutesIgnored, { version: table.version, inForce });
     }
-    const isAccepted = era > routesEra ? routes.offerAgain(table) : routes.offer(table);
+    const isAccepted = era > routesEra ? routes.offerRewritten(table) : routes.offer(table);
     if (!isAccepted) return;
     routesEra = era;
     routesItems.clear();
@@ -141,9 +141,9 @@
       routes: table.routes.length,
       accounts: table.accounts?.length,
       damagedAccounts: table.damagedAccounts,
-      accountsSharingKeys: routes.current()?.accounts?.sharingKeys,
+      accountsSharingKeys: routes.current()?.accounts?.accountsSharingKeys,
     });
-    options.onRoutes?.();
+    options.onRoutesChanged?.();
   };
 
   const putItem = (item: PublishedItem, era: number): void => {
@@ -241,7 +241,7 @@
     const evacuated = new Set(
       state.items.flatMap((item) => (item.kind === 'evacuation' ? [item.failureDomain] : [])),
     );
-    for (const domain of servers.evacuated()) {
+    for (const domain of servers.evacuatedDomains()) {
       if (!evacuated.has(domain)) endEvacuationAfterGrace(domain);
     }
   };
@@ -289,8 +289,8 @@
   const routesCatchUp = createRoutesCatchUp({
     clock,
     routes,
-    latestPeerVersion: options.latestElsewhere,
-    readPeerState: () => options.askPeer(stopController.signal),
+    latestPeerVersion: options.latestPeerVersion,
+    readPeerState: () => options.readPeerState(stopController.signal),
     applyRoutes: (item) => putRoutes(item, routesEra),
   });
 
@@ -316,7 +316,7 @@
   const applyPeerState = async (): Promise<void> => {
     if (isPeerRequestPending) return;
     isPeerRequestPending = true;
-    const state = await options.askPeer(stopController.signal);
+    const state = await options.readPeerState(stopController.signal);
     isPeerRequestPending = false;
     if (state === undefined || failureCount === 0) return;
     if (position !== undefined && !isLater(state.position, position)) return;
@@ -373,7 +373,7 @@
         ...routesItems.values(),
         ...currentAnnouncements().map(withCurrentColdTime),
         ...quarantine.items(),
-        ...servers.evacuated().map((failureDomain) => ({
+        ...servers.evacuatedDomains().map((failureDomain) => ({
           kind: 'evacuation' as const,
           failureDomain,
         })),
--- a/src/core/state-sync/index.ts
+++ b/src/core/state-sync/index.ts
@@ -5,7 +5,7 @@
 export { isLater } from './position';
 export type { Position } from './position';
 export { parseChanges, serializeChanges } from './changes-message';
-export { readSnapshot, writeSnapshot } from './snapshot-message';
+export { parseSnapshot, serializeSnapshot } from './snapshot-message';
 export type {
   PublishedChange,
   PublishedChanges,
--- a/src/core/state-sync/restored-source.test.ts
+++ b/src/core/state-sync/restored-source.test.ts
@@ -87,8 +87,8 @@
     servers,
     routes: table,
     random: { next: () => 0 },
-    askPeer: async () => scenario.peerState,
-    latestElsewhere: () => scenario.latestPeerVersion ?? 0,
+    readPeerState: async () => scenario.peerState,
+    latestPeerVersion: () => scenario.latestPeerVersion ?? 0,
   });
   sync.start();
   return {
@@ -98,7 +98,7 @@
     headerTimeoutMs: () => table.current()?.table.limits.headerTimeoutMs,
     serverIds: () => servers.all().map(({ serverId }) => serverId),
     usable: () => servers.usable('app', 'north').map(({ serverId }) => serverId),
-    evacuated: () => servers.evacuated(),
+    evacuated: () => servers.evacuatedDomains(),
   };
 }
 
--- a/src/core/state-sync/later-routes.test.ts
+++ b/src/core/state-sync/routes-catch-up.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { createRouteTableStore } from '../host-routes';
-import { createRoutesCatchUp } from './later-routes';
+import { createRoutesCatchUp } from './routes-catch-up';
 
 const LIMITS = { headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
 const CHECK_INTERVAL_MS = 500;
--- a/src/core/state-sync/snapshot-message.ts
+++ b/src/core/state-sync/snapshot-message.ts
@@ -143,12 +143,12 @@
 }
 
 /** Serializes a snapshot as JSON. */
-export function writeSnapshot(state: PublishedState): string {
+export function serializeSnapshot(state: PublishedState): string {
   return JSON.stringify({ position: state.position, items: state.items.map(toMessageItem) });
 }
 
 /** Parses a snapshot from JSON; throws if the text is not a valid snapshot. */
-export function readSnapshot(text: string): PublishedState {
+export function parseSnapshot(text: string): PublishedState {
   const { position, items } = snapshotSchema.parse(JSON.parse(text));
   return { position, items: items.map(fromMessageItem), unreadable: [] };
 }
--- a/src/core/state-sync/state-sync.test.ts
+++ b/src/core/state-sync/state-sync.test.ts
@@ -5,7 +5,7 @@
 import type { ServerAnnouncement } from '../server-registry';
 import { createFakeClock, createMemoryLogger } from '../../testing';
 import { routesItem, serverItem } from './testing/published-items';
-import { STATE_SYNC_EVENTS, createStateSync, readSnapshot, writeSnapshot } from '.';
+import { STATE_SYNC_EVENTS, createStateSync, parseSnapshot, serializeSnapshot } from '.';
 import type {
   Position,
   PublishedChange,
@@ -76,8 +76,8 @@
 
 function setUp(
   source: StateSource,
-  askPeer: () => Promise<PublishedState | undefined> = async () => undefined,
-  latestElsewhere = 0,
+  readPeerState: () => Promise<PublishedState | undefined> = async () => undefined,
+  latestPeerVersion = 0,
 ) {
   const clock = createFakeClock();
   const logger = createMemoryLogger();
@@ -90,8 +90,8 @@
     servers,
     routes: table,
     random: { next: () => 0 },
-    askPeer,
-    latestElsewhere: () => latestElsewhere,
+    readPeerState,
+    latestPeerVersion: () => latestPeerVersion,
   });
   return { clock, logger, table, servers, sync };
 }
@@ -220,7 +220,7 @@
     );
     sync.start();
     await clock.advanceByAsync(50);
-    assert.deepEqual(servers.evacuated(), ['north-a']);
+    assert.deepEqual(servers.evacuatedDomains(), ['north-a']);
     await clock.advanceByAsync(2_000);
     assert.equal(logger.of(STATE_SYNC_EVENTS.sourceLost).length, 1);
     assert.ok((waitsMs[1] ?? Infinity) < (waitsMs[0] ?? 0));
@@ -294,7 +294,7 @@
       },
     };
     const whole = state(7, [table, serverItem('s-1'), { kind: 'evacuation', failureDomain: 'x' }]);
-    assert.deepEqual(readSnapshot(writeSnapshot(whole)), whole);
+    assert.deepEqual(parseSnapshot(serializeSnapshot(whole)), whole);
   });
 });
 
--- a/src/core/tickets/ticket-text.ts
+++ b/src/core/tickets/ticket-text.ts
@@ -1,5 +1,5 @@
 import { createHmac } from 'node:crypto';
-import { sameSecret } from '../access';
+import { secretsMatch } from '../access';
 import type { PresentedTicket, TicketClaims } from './types';
 
 /**
@@ -58,5 +58,5 @@
   presented: PresentedTicket,
   binding: TicketBinding,
 ): boolean {
-  return sameSecret(presented.seal, sealOf(key, presented, binding));
+  return secretsMatch(presented.seal, sealOf(key, presented, binding));
 }
--- a/src/runtime/system-turns.ts
+++ b/src/runtime/system-turns.ts
@@ -1,9 +1,9 @@
-import type { Turns } from '../core/intake';
+import type { EventLoopTurns } from '../core/intake';
 
 /** The turns of Node's event loop: what is put off comes after the events of this turn, and before the next look. */
-export function createSystemTurns(): Turns {
+export function createSystemTurns(): EventLoopTurns {
   return {
-    atEnd(callback) {
+    atTurnEnd(callback) {
       setImmediate(callback);
     },
   };
--- a/src/testing/relay-fleet.ts
+++ b/src/testing/relay-fleet.ts
@@ -1,11 +1,11 @@
-import type { CallAnswer, CallHandlers, Caller } from '../core/calls';
+import type { CallAnswer, CallHandlers, CallClient } from '../core/calls';
 import { sleepUntil } from '../core/clock';
 import { createRouteTableStore } from '../core/host-routes';
 import type { RouteTable } from '../core/host-routes';
 import { createServerRegistry } from '../core/server-registry';
-import { answerWatches, createRelayedSource, createWatcherClient } from '../core/state-relay';
+import { createWatchHandlers, createRelayedSource, createWatcherClient } from '../core/state-relay';
 import type { RelayInstance, RelayedSource } from '../core/state-relay';
-import { createStateSync, writeSnapshot } from '../core/state-sync';
+import { createStateSync, serializeSnapshot } from '../core/state-sync';
 import type { PublishedChange, StateSource } from '../core/state-sync';
 import { createFakeClock } from './fake-clock';
 import type { FakeClock } from './fake-clock';
@@ -198,10 +198,10 @@
     const [name = '', query] = path.split('?');
     const handler = listener?.handlers.get(name);
     if (handler === undefined) throw new Error(`nothing answers ${path}`);
-    return handler({ query: new URLSearchParams(query), text: '', onGone() {} });
+    return handler({ query: new URLSearchParams(query), text: '', onDisconnected() {} });
   };
 
-  const callerOf = (own: RelayFaults): Caller => ({
+  const callClientOf = (own: RelayFaults): CallClient => ({
     async call(address, { path, answerByMs }) {
       const nobody = async (): Promise<never> => {
         await sleepUntil(clock, answerByMs);
@@ -235,7 +235,7 @@
       clock,
       logger: createMemoryLogger(),
       source: source.sourceFor(faults),
-      watchers: createWatcherClient(clock, callerOf(faults)),
+      watchers: createWatcherClient(clock, callClientOf(faults)),
       self: member,
       others: () =>
         members.filter(
@@ -250,18 +250,18 @@
       source: relayed,
       routes: table,
       servers: createServerRegistry({ regionOf: () => 'north', coldStartMs: () => 0 }),
-      onRoutes() {
+      onRoutesChanged() {
         if (version() < highest) wentBackFrom = highest;
         highest = Math.max(highest, version());
       },
-      askPeer: async () => undefined,
-      latestElsewhere: () => 0,
+      readPeerState: async () => undefined,
+      latestPeerVersion: () => 0,
     });
-    const handlers = answerWatches({
+    const handlers = createWatchHandlers({
       clock,
       feed: relayed.feed,
       freshUntilMs: relayed.freshUntilMs,
-      writeState: () => writeSnapshot(sync.snapshot()),
+      serializeState: () => serializeSnapshot(sync.snapshot()),
     });
     listeners.set(member.address, { handlers, faults });
     owned.push(sync);
--- a/src/testing/server-region.ts
+++ b/src/testing/server-region.ts
@@ -1,6 +1,6 @@
 import { configurationSchema, createConfigurationStore } from '../core/configuration';
 import type { ConfigurationStore } from '../core/configuration';
-import { createGossipBoard } from '../core/gossip';
+import { createGossipStore } from '../core/gossip';
 import type { GossipStore } from '../core/gossip';
 import type { MemberState, MembershipView } from '../core/membership';
 import { createSeededRandom, pickIndex } from '../core/random';
@@ -27,7 +27,7 @@
 /** One instance of the region. */
 export interface RegionInstance {
   readonly health: ServerHealth;
-  readonly board: GossipStore;
+  readonly gossip: GossipStore;
   readonly logger: MemoryLogger;
   readonly configuration: ConfigurationStore;
 }
@@ -111,7 +111,7 @@
       members: () => members,
       usablePeers: () => members.filter((other) => other !== self),
     };
-    const board = createGossipBoard(self.instanceId, clock);
+    const gossip = createGossipStore(self.instanceId, clock);
     const health = createServerHealth({
       clock,
       random,
@@ -119,27 +119,27 @@
       region: REGION,
       configuration,
       membership,
-      gossip: board,
+      gossip,
       async probe({ serverId }) {
         probes += 1;
         return answerOf(index, serverId);
       },
     });
     health.start();
-    return { health, board, logger, configuration };
+    return { health, gossip, logger, configuration };
   };
 
   const instances = members.map(startInstance);
 
-  const exchangeWithOne = ({ board }: RegionInstance, index: number) => {
+  const exchangeWithOne = ({ gossip }: RegionInstance, index: number) => {
     const step = 1 + pickIndex(random, instanceCount - 1);
     const other = instances[(index + step) % instanceCount];
     if (other === undefined) return;
-    const mine = board.entries('serverMarks');
-    const theirs = other.board.entries('serverMarks');
+    const mine = gossip.entries('serverMarks');
+    const theirs = other.gossip.entries('serverMarks');
     statements += mine.length + theirs.length;
-    other.board.receive(mine);
-    board.receive(theirs);
+    other.gossip.receive(mine);
+    gossip.receive(theirs);
   };
 
   const exchangeAll = () => {
--- a/src/testing/virtual-fleet.ts
+++ b/src/testing/virtual-fleet.ts
@@ -8,7 +8,7 @@
   ConfigurationRequest,
   ConfigurationSync,
 } from '../core/configuration-sync';
-import { createGossipBoard } from '../core/gossip';
+import { createGossipStore } from '../core/gossip';
 import type { GossipStore } from '../core/gossip';
 import { createMembership } from '../core/membership';
 import type { ExchangeMessage, MemberRecord, Membership } from '../core/membership';
@@ -106,7 +106,7 @@
     const place = { address, region, failureDomain };
     const port = network.open(place, clockOffsetMs);
     const logger = createMemoryLogger();
-    const gossip = createGossipBoard(instanceId, port.clock);
+    const gossip = createGossipStore(instanceId, port.clock);
     const store = createConfigurationStore(logger);
     let sync: ConfigurationSync | undefined;
     const says = { configurationVersion: 1, inFlightRequests: 0 };
