--- a/bench/decision-cost/main.ts
+++ b/bench/decision-cost/main.ts
@@ -111,7 +111,7 @@
       open[index] = open.at(-1) as Placement<number>;
       open.pop();
       const owner = schedulers[(placement.request.item - 1) % services] as ServiceScheduler<number>;
-      owner.firstByte(placement);
+      owner.recordFirstByte(placement);
       owner.end(placement, 'answered', nowMs);
       open.push(...owner.takeReady(nowMs));
     },
--- a/bench/decisions/policies/regional.ts
+++ b/bench/decisions/policies/regional.ts
@@ -2,7 +2,7 @@
 import { REFUSALS } from '../../../src/core/refusals';
 import { createRetryBudget, decideRetry } from '../../../src/core/retries';
 import type { Outlook } from '../../../src/core/scheduling';
-import { createSpillover, mayTakeForeign } from '../../../src/core/spillover';
+import { createSpillover, mayAcceptForwarded } from '../../../src/core/spillover';
 import type { ForwardResult, HomeOutlook, SpilloverDecision } from '../../../src/core/spillover';
 import type { AttemptEnd, LoadRequest, Policy, PolicyFactory, PolicySetup } from '../harness';
 import { createSchedulerPolicy } from './scheduler-policy';
@@ -127,7 +127,7 @@
     },
     before(item, outlook) {
       if (item.fromInstanceId === undefined) return false;
-      if (mayTakeForeign(toHome(outlook, {}), OPTIONS)) return false;
+      if (mayAcceptForwarded(toHome(outlook, {}), OPTIONS)) return false;
       actions.refuse(item, 'own callers first');
       return true;
     },
--- a/bench/decisions/policies/resilient.ts
+++ b/bench/decisions/policies/resilient.ts
@@ -1,7 +1,7 @@
 import { resilienceSchema } from '../../../src/core/configuration';
 import type { Evidence } from '../../../src/core/outcomes';
 import { createOutlierTracker } from '../../../src/core/outliers';
-import type { ObservedTry, OutlierTracker } from '../../../src/core/outliers';
+import type { ObservedAttempt, OutlierTracker } from '../../../src/core/outliers';
 import { createCrashLedger } from '../../../src/core/poison';
 import type { CrashMark } from '../../../src/core/poison';
 import { REFUSALS } from '../../../src/core/refusals';
@@ -30,7 +30,7 @@
   readonly tries: number;
   readonly triesThatMayHaveRun: number;
   readonly avoid: readonly string[];
-  readonly observed?: ObservedTry;
+  readonly observed?: ObservedAttempt;
 }
 
 const FRESH: Progress = { tries: 0, triesThatMayHaveRun: 0, avoid: [] };
--- a/bench/decisions/policies/scheduler-policy.ts
+++ b/bench/decisions/policies/scheduler-policy.ts
@@ -178,16 +178,16 @@
       placements.delete(item.requestId);
       const result = end.kind === 'answered' ? 'answered' : 'withoutAnswer';
       scheduler.end(placement, result, actions.nowMs());
-      if (end.kind === 'answered') scheduler.noteOutput(placement, end.usage.outputTokens);
+      if (end.kind === 'answered') scheduler.recordOutput(placement, end.usage.outputTokens);
       if (end.kind === 'crashed' || end.kind === 'unreachable') {
-        scheduler.forgetCache(end.serverId);
+        scheduler.removeCacheRecords(end.serverId);
         if (hooks?.failed(item, end) !== true) actions.refuse(item, 'server failed');
       }
       pump(scheduler);
     },
     onFirstToken(item) {
       const placement = placements.get(item.requestId);
-      if (placement !== undefined) schedulerOf(item)?.firstByte(placement);
+      if (placement !== undefined) schedulerOf(item)?.recordFirstByte(placement);
     },
     onGone(item) {
       const request = waiting.get(item.requestId);
@@ -197,12 +197,12 @@
     },
     onLoadReport(report) {
       services.forEach(({ scheduler }) =>
-        scheduler.noteReport(report.serverId, report, actions.nowMs()),
+        scheduler.recordReport(report.serverId, report, actions.nowMs()),
       );
     },
     onCacheEvent({ kind, serverId, prefixKey, atMs }) {
       services.forEach(({ scheduler }) =>
-        scheduler.noteCacheEvent({ kind, serverId, key: prefixKey, atMs }),
+        scheduler.recordCacheEvent({ kind, serverId, key: prefixKey, atMs }),
       );
     },
   };
--- a/checks/invariants/invariants.ts
+++ b/checks/invariants/invariants.ts
@@ -1,6 +1,6 @@
 import { DEALER, INSTANCE_REGIONS } from './fleet';
 import type { Fleet } from './fleet';
-import { allowedRegionsNow } from '../../src/core/residency';
+import { currentlyAllowedRegions } from '../../src/core/residency';
 import { readTicket } from '../../src/core/tickets';
 import type { Told } from './caller';
 
@@ -61,7 +61,7 @@
 /** Nothing is sent to a region that the configuration in force at its sender bars. */
 function dataStaysHome({ forwards, firstBytes }: Fleet): string[] {
   const allowed = (note: { configuration: Fleet['forwards'][number]['configuration'] }) =>
-    allowedRegionsNow(note.configuration, DEALER, 'orders');
+    currentlyAllowedRegions(note.configuration, DEALER, 'orders');
   const away = forwards
     .filter((note) => !allowed(note).includes(INSTANCE_REGIONS[note.to.name] ?? ''))
     .map(({ message, to }) => `${message.requestId} was forwarded to ${to.name}`);
--- a/src/core/admission/adaptive-limit.ts
+++ b/src/core/admission/adaptive-limit.ts
@@ -75,10 +75,10 @@
     meanRequestUnits: () => meanRequestUnits,
     inFlightUnits: () => inFlightUnits,
     inFlightRequests: () => inFlightRequests,
-    hasRoom: () =>
+    hasCapacity: () =>
       inFlightRequests < (hasSeenOverload ? 1 : initialLimitRequests) ||
       inFlightUnits + meanRequestUnits / 2 <= limitUnits,
-    hasSparseRoom: () => inFlightUnits - meanRequestUnits / 2 <= limitUnits,
+    hasSparseCapacity: () => inFlightUnits - meanRequestUnits / 2 <= limitUnits,
     stretch: () => lastStretch,
     begin(units) {
       inFlightUnits += units;
--- a/src/core/admission/admission.test.ts
+++ b/src/core/admission/admission.test.ts
@@ -51,9 +51,9 @@
     let nowMs = 0;
     for (let round = 0; round < 20; round += 1) nowMs = recordAnswers(limit, nowMs, 1_000, 1);
     assert.equal(limit.limitUnits(), 1);
-    assert.equal(limit.hasRoom(), true);
+    assert.equal(limit.hasCapacity(), true);
     limit.begin(1);
-    assert.equal(limit.hasRoom(), false);
+    assert.equal(limit.hasCapacity(), false);
   });
 
   // Requests that were sent before a limit decreased still end slowly for a while. If they counted against the new
--- a/src/core/admission/types.ts
+++ b/src/core/admission/types.ts
@@ -29,9 +29,9 @@
   inFlightUnits(): number;
   inFlightRequests(): number;
   /** Returns whether another request may begin. */
-  hasRoom(): boolean;
+  hasCapacity(): boolean;
   /** Returns whether a request of a sparse flow may begin; it may exceed the limit by one request. */
-  hasSparseRoom(): boolean;
+  hasSparseCapacity(): boolean;
   /** Recent latency relative to that on servers with little load; 1 before any measurement. */
   stretch(): number;
   begin(units: number): void;
--- a/src/core/caller-limits/caller-limiter.test.ts
+++ b/src/core/caller-limits/caller-limiter.test.ts
@@ -39,7 +39,7 @@
     for (const { from, announcement } of messages.filter(({ dueMs }) => dueMs <= nowMs)) {
       nodes.forEach(({ others }, to) => {
         if (to === from || !canReceive(from, to)) return;
-        others.note(
+        others.record(
           'dealer',
           `node-${from}`,
           announcement.perSecond,
@@ -69,7 +69,7 @@
           if (result?.announcement !== undefined) send(at, result.announcement);
         }
         if (nowMs % 1_000 !== 0) return;
-        nodes[at]?.limiter.sweep(nowMs).forEach(({ announcement }) => {
+        nodes[at]?.limiter.takeFallenDemand(nowMs).forEach(({ announcement }) => {
           send(at, announcement);
         });
       });
--- a/src/core/caller-limits/caller-limiter.ts
+++ b/src/core/caller-limits/caller-limiter.ts
@@ -33,7 +33,7 @@
    * Returns the announcements to send for callers whose demand here has fallen. Call it every second: a caller that
    * moved to another entry instance sends no requests here any more that could trigger an announcement.
    */
-  sweep(nowMs: number): readonly CallerAnnouncement[];
+  takeFallenDemand(nowMs: number): readonly CallerAnnouncement[];
   /** Returns the number of callers with state on this instance. */
   callers(): number;
 }
@@ -122,7 +122,7 @@
         lastAnnouncement: NO_ANNOUNCEMENT,
       };
       const demand = addDemand(known.demand, nowMs);
-      const grant = grantedPerSecond(limit, demand.perSecond, others.of(callerId, nowMs));
+      const grant = grantedPerSecond(limit, demand.perSecond, others.demandOf(callerId, nowMs));
       const { bucket, decision } = takeToken(known.bucket, limit, grant, nowMs);
       const announcement = nextAnnouncement({ ...known, demand }, limit, nowMs);
       states.delete(callerId);
@@ -136,7 +136,7 @@
       if (announcement !== undefined && shouldSend) announcedCallers.add(callerId);
       return { decision, announcement: shouldSend ? announcement : undefined };
     },
-    sweep(nowMs) {
+    takeFallenDemand(nowMs) {
       const fallen: CallerAnnouncement[] = [];
       for (const callerId of [...announcedCallers]) {
         const state = states.get(callerId);
--- a/src/core/caller-limits/caller-limits.ts
+++ b/src/core/caller-limits/caller-limits.ts
@@ -17,7 +17,7 @@
 /** Enforces the account limits on requests from callers. */
 export interface CallerLimits extends AsyncDisposable {
   /** Returns if the request is within the limit of its caller, and throws a `RefusalError` otherwise. */
-  require(caller: Caller, requestId: string): void;
+  requireWithinLimit(caller: Caller, requestId: string): void;
 }
 
 /** Options of the caller limits. */
@@ -54,7 +54,7 @@
     const perSecond = readPerSecond(payload);
     if (perSecond === undefined) return;
     const remainingMs = Math.min(SAMPLED_TTL_MS, expiresAtUnixMs - clock.unixMs());
-    others.note(key, origin, perSecond, clock.monotonicMs() + remainingMs);
+    others.record(key, origin, perSecond, clock.monotonicMs() + remainingMs);
   };
   const subscription = gossip.onEntry('callerShares', onAnnouncement);
 
@@ -72,7 +72,7 @@
     });
 
   const decide = (caller: Caller, nowMs: number): LimiterResult => {
-    const othersPerSecond = others.of(caller.id, nowMs);
+    const othersPerSecond = others.demandOf(caller.id, nowMs);
     const result = limiter.decide(caller.id, caller.limits, nowMs);
     const draws = random.takeDraws();
     const toldPerSecond = result.announcement?.perSecond;
@@ -94,7 +94,7 @@
 
   const sweep = async (): Promise<void> => {
     while (!stopping.signal.aborted) {
-      for (const { callerId, announcement } of limiter.sweep(clock.monotonicMs())) {
+      for (const { callerId, announcement } of limiter.takeFallenDemand(clock.monotonicMs())) {
         const caller = configuration.current()?.callerById(callerId);
         if (caller !== undefined) announce(caller, announcement);
       }
@@ -104,7 +104,7 @@
 
   const sweeping = sweep();
   return {
-    require(caller, requestId) {
+    requireWithinLimit(caller, requestId) {
       const nowMs = clock.monotonicMs();
       const { decision, announcement } = decide(caller, nowMs);
       if (announcement !== undefined) announce(caller, announcement);
--- a/src/core/caller-limits/others-demand.ts
+++ b/src/core/caller-limits/others-demand.ts
@@ -1,9 +1,9 @@
 /** Valid announcements of the other instances about the demand of callers. */
 export interface OthersDemand {
   /** Records the demand of a caller at another instance, in place of what that instance announced before. */
-  note(callerId: string, origin: string, perSecond: number, untilMs: number): void;
+  record(callerId: string, origin: string, perSecond: number, untilMs: number): void;
   /** Returns the sum of the valid announcements about a caller, requests/s. */
-  of(callerId: string, nowMs: number): number;
+  demandOf(callerId: string, nowMs: number): number;
   /** Returns the number of callers with announcements, including expired ones that were not yet dropped. */
   callers(): number;
 }
@@ -27,12 +27,12 @@
   };
 
   return {
-    note(callerId, origin, perSecond, untilMs) {
+    record(callerId, origin, perSecond, untilMs) {
       const byOrigin = reports.get(callerId) ?? new Map<string, ReportedDemand>();
       byOrigin.set(origin, { perSecond, untilMs });
       reports.set(callerId, byOrigin);
     },
-    of(callerId, nowMs) {
+    demandOf(callerId, nowMs) {
       if (!reports.has(callerId)) return 0;
       return [...dropExpired(callerId, nowMs).values()].reduce(
         (sum, { perSecond }) => sum + perSecond,
--- a/src/core/decision-trace/replay.ts
+++ b/src/core/decision-trace/replay.ts
@@ -1,7 +1,7 @@
 import { isDeepStrictEqual } from 'node:util';
 import { createCallerLimiter } from '../caller-limits';
 import { createOutlierTracker } from '../outliers';
-import type { Ejection, ObservedTry } from '../outliers';
+import type { Ejection, ObservedAttempt } from '../outliers';
 import { createCrashLedger } from '../poison';
 import { refusalBySlug } from '../refusals';
 import { decideRetry } from '../retries';
@@ -44,7 +44,7 @@
   const limiter = createCallerLimiter({
     random,
     instances: () => instances,
-    others: { note: () => {}, of: () => othersPerSecond, callers: () => 0 },
+    others: { record: () => {}, demandOf: () => othersPerSecond, callers: () => 0 },
   });
   return (line) => {
     random.load(line.draws);
@@ -59,7 +59,7 @@
 function createServerTryReplayer(): Replayer<'serverTry'> {
   let options: TraceLineOf<'serverTry'>['options'];
   let ejections: Ejection[] = [];
-  const open = new Map<number, ObservedTry>();
+  const open = new Map<number, ObservedAttempt>();
   const tracker = createOutlierTracker(
     () => {
       if (options === undefined) throw new RangeError('The recording states no options');
--- a/src/core/draining/create-draining.ts
+++ b/src/core/draining/create-draining.ts
@@ -9,10 +9,10 @@
 export interface Draining {
   phase(): DrainPhase;
   /** Whether the stop has begun; connections are then closed after their answer. */
-  isLeaving(): boolean;
+  isStopping(): boolean;
   openWork(): OpenWork;
   /** Records the arrival of a request, whether or not it is served. */
-  noteArrival(): void;
+  recordArrival(): void;
   /** Counts a request as open until the result is disposed of. */
   begin(origin: 'caller' | 'peer'): Disposable;
   /** Records a request that was refused because of the stop. */
@@ -90,9 +90,9 @@
 
   return {
     phase: () => phase,
-    isLeaving: () => phase !== 'serving',
+    isStopping: () => phase !== 'serving',
     openWork,
-    noteArrival() {
+    recordArrival() {
       lastArrivalAtMs = clock.monotonicMs();
     },
     begin(origin) {
--- a/src/core/draining/gate-serving.ts
+++ b/src/core/draining/gate-serving.ts
@@ -6,7 +6,7 @@
 export function countServing(serving: Serving, draining: Draining): Serving {
   return {
     async serve(request, sink, signal) {
-      draining.noteArrival();
+      draining.recordArrival();
       const open = draining.begin(request.origin.kind);
       try {
         await serving.serve(request, sink, signal);
@@ -31,7 +31,7 @@
         await counted.serve(request, sink, signal);
         return;
       }
-      draining.noteArrival();
+      draining.recordArrival();
       draining.recordRefusal();
       throw new RefusalError(REFUSALS.notReady, {
         detail: 'This instance is stopping.',
--- a/src/core/entry/choose-entry.ts
+++ b/src/core/entry/choose-entry.ts
@@ -10,7 +10,7 @@
 }
 
 /** Input of `chooseEntry`. */
-export interface EntryQuestion {
+export interface EntryInput {
   readonly members: readonly MemberState[];
   /** Regions that may hold the caller's data. */
   readonly regions: readonly string[];
@@ -58,7 +58,7 @@
  * instance returns the same result. A caller keeps its instance, and with it the prefixes that the instance
  * knows to be cached. When instances fail, their callers are spread over all remaining ones instead of one.
  */
-export function chooseEntry(question: EntryQuestion): EntryChoice | undefined {
+export function chooseEntry(question: EntryInput): EntryChoice | undefined {
   const { members, regions, homeRegion, key } = question;
   const allowed = candidatesOf(members.filter((member) => regions.includes(member.region)));
   const atHome = rankByScore(
--- a/src/core/entry/entry-answer.ts
+++ b/src/core/entry/entry-answer.ts
@@ -22,7 +22,7 @@
  * TTL of an entry, ms: long enough that the requests for it cost little, short enough that callers move soon
  * after an instance stops.
  */
-export const ENTRY_VALID_MS = 10_000;
+export const ENTRY_TTL_MS = 10_000;
 
 function toInstance(member: MemberState): EntryInstance {
   return {
@@ -45,6 +45,6 @@
   return {
     entry: toInstance(choice.entry),
     fallbacks: choice.fallbacks.map(toInstance),
-    askAgainAtUnixMs: nowUnixMs + Math.round(ENTRY_VALID_MS * (1 - JITTER_SHARE * jitter)),
+    askAgainAtUnixMs: nowUnixMs + Math.round(ENTRY_TTL_MS * (1 - JITTER_SHARE * jitter)),
   };
 }
--- a/src/core/http-edge/open-http-edge.ts
+++ b/src/core/http-edge/open-http-edge.ts
@@ -98,9 +98,9 @@
     const expectsContinue = expecting.has(incoming);
     const requestId = options.newRequestId();
     const signal = goneSignal(response);
-    options.draining.noteArrival();
+    options.draining.recordArrival();
     // A caller that keeps its connection would send its next request to an instance that is about to go.
-    if (options.draining.isLeaving()) response.setHeader('connection', 'close');
+    if (options.draining.isStopping()) response.setHeader('connection', 'close');
     void handle(options, handler, {
       incoming,
       response,
--- a/src/core/http-edge/refuse-region.ts
+++ b/src/core/http-edge/refuse-region.ts
@@ -2,7 +2,7 @@
 import { chooseEntry, toEntryAnswer } from '../entry';
 import type { MembershipView } from '../membership';
 import { REFUSALS, RefusalError } from '../refusals';
-import { allowedRegions, allowedRegionsNow } from '../residency';
+import { allowedRegions, currentlyAllowedRegions } from '../residency';
 import type { GatewayRequest } from '../serving';
 
 /** Keeps data out of regions in which it may not be, and names instances that may have it. */
@@ -59,7 +59,7 @@
       const isElsewhere =
         error.definition === REFUSALS.regionNotAllowed || error.definition === REFUSALS.notReady;
       if (!isElsewhere || error.entries !== undefined) return error;
-      const regions = allowedRegionsNow(configuration, caller.id, service.name);
+      const regions = currentlyAllowedRegions(configuration, caller.id, service.name);
       return error.with({ entries: entriesIn(caller, regions) });
     },
   };
--- a/src/core/http-edge/routes.ts
+++ b/src/core/http-edge/routes.ts
@@ -114,7 +114,7 @@
     const { incoming } = exchange;
     const { caller, configuration } = identify(incoming);
     gate.requireAnyModel(caller, configuration);
-    options.callerLimits.require(caller, exchange.requestId);
+    options.callerLimits.requireWithinLimit(caller, exchange.requestId);
     const body = await readBody(exchange, limits.bodyBytes);
     const model = modelOf(body);
     const service = configuration.serviceOfModel(model);
@@ -139,7 +139,7 @@
       throw neverSent(REFUSALS.unknownService, `There is no service "${name}".`, 'find-service');
     }
     gate.requireService(caller, service);
-    options.callerLimits.require(caller, exchange.requestId);
+    options.callerLimits.requireWithinLimit(caller, exchange.requestId);
     const path = pathWithinService(incoming.url ?? '/', service);
     const withoutBody = { caller, service, path, body: new Uint8Array(), configuration };
     if (exchange.expectsContinue && isRefusedWithoutTicket(incoming, withoutBody)) {
--- a/src/core/http-edge/types.ts
+++ b/src/core/http-edge/types.ts
@@ -19,11 +19,11 @@
   readonly configuration: ConfigurationStore;
   readonly membership: MembershipView;
   readonly serving: Serving;
-  readonly callerLimits: Pick<CallerLimits, 'require'>;
+  readonly callerLimits: Pick<CallerLimits, 'requireWithinLimit'>;
   readonly tickets: Tickets;
   readonly serveNonRepeatable: NonRepeatableServer;
   readonly metrics: Metrics;
-  readonly draining: Pick<Draining, 'isLeaving' | 'noteArrival'>;
+  readonly draining: Pick<Draining, 'isStopping' | 'recordArrival'>;
   readonly limits: Settings['limits'];
   /** Makes an id that no other request has. */
   readonly newRequestId: () => string;
--- a/src/core/load-control/slot.ts
+++ b/src/core/load-control/slot.ts
@@ -48,7 +48,7 @@
     const metrics = header === undefined ? undefined : readLoadReport(header);
     if (metrics === undefined) return;
     const nowMs = clock.monotonicMs();
-    scheduler.noteReport(server.serverId, { atMs: nowMs, ...metrics }, nowMs);
+    scheduler.recordReport(server.serverId, { atMs: nowMs, ...metrics }, nowMs);
   };
 
   const recordHead = (head: ResponseHead): ResponseHead => {
@@ -61,7 +61,7 @@
   };
 
   const recordChunk = (chunk: Uint8Array) => {
-    if (!hasFirstByte) scheduler.firstByte(placement);
+    if (!hasFirstByte) scheduler.recordFirstByte(placement);
     hasFirstByte = true;
     outputTokens += isStream ? countEvents(chunk) : chunk.length / BYTES_PER_TOKEN;
   };
@@ -91,7 +91,7 @@
       if (!isOpen) return;
       isOpen = false;
       scheduler.end(placement, result, clock.monotonicMs());
-      if (result === 'answered') scheduler.noteOutput(placement, outputTokens);
+      if (result === 'answered') scheduler.recordOutput(placement, outputTokens);
       control.dispatch();
     },
   };
--- a/src/core/outliers/index.ts
+++ b/src/core/outliers/index.ts
@@ -4,4 +4,10 @@
 export { createOutlierTracker } from './outlier-tracker';
 export type { OutlierTracker } from './outlier-tracker';
 export { createRecordedOutlierTracker } from './record-attempts';
-export type { Ejection, EjectionReason, ObservedServer, ObservedTry, EjectionState } from './types';
+export type {
+  Ejection,
+  EjectionReason,
+  ObservedServer,
+  ObservedAttempt,
+  EjectionState,
+} from './types';
--- a/src/core/outliers/outlier-tracker.ts
+++ b/src/core/outliers/outlier-tracker.ts
@@ -11,7 +11,13 @@
 import { medianLevel } from './latency-level';
 import { NO_TIMES, recordEnd, recordHead, recordUnfinished } from './server-times';
 import type { OpenAttempt, ServerTimes } from './server-times';
-import type { Ejection, EjectionReason, ObservedServer, ObservedTry, EjectionState } from './types';
+import type {
+  Ejection,
+  EjectionReason,
+  ObservedServer,
+  ObservedAttempt,
+  EjectionState,
+} from './types';
 
 /**
  * Detects a bad server among good ones and ejects it. Such a server fails, or takes many times as long, and
@@ -32,7 +38,7 @@
  */
 export interface OutlierTracker {
   /** Records the start of an attempt. `workUnits` scales its time, 1 for work of the usual size. */
-  begin(server: ObservedServer, workUnits: number, nowMs: number): ObservedTry;
+  begin(server: ObservedServer, workUnits: number, nowMs: number): ObservedAttempt;
   /** Returns whether a request may go to the server; random for a server that is returning. */
   mayUse(serverId: string, nowMs: number, random: RandomSource): boolean;
   ejectionState(serverId: string, nowMs: number): EjectionState;
--- a/src/core/outliers/types.ts
+++ b/src/core/outliers/types.ts
@@ -22,10 +22,10 @@
 }
 
 /** How an attempt failed: no connection could be made, or the answer was incomplete. */
-export type TryFailure = 'unreachable' | 'broken';
+export type AttemptFailure = 'unreachable' | 'broken';
 
 /** One attempt at a server. It ends when its answer is complete, when it fails, or when it is abandoned. */
-export interface ObservedTry {
+export interface ObservedAttempt {
   /** Records the head of an answer; `isFailure` is true for a status that indicates a broken server. */
   headReceived(nowMs: number, isFailure: boolean): void;
   /**
@@ -34,7 +34,7 @@
   partsReceived(count: number): void;
   /** Records that the answer is complete. */
   ended(nowMs: number): void;
-  failed(nowMs: number, failure: TryFailure): void;
+  failed(nowMs: number, failure: AttemptFailure): void;
   /** Records that this side gave up: the deadline passed or the caller disconnected. */
   abandoned(nowMs: number): void;
 }
--- a/src/core/queueing/standing-queue.ts
+++ b/src/core/queueing/standing-queue.ts
@@ -8,7 +8,7 @@
  * its queue once and keeps it full: the throughput is the same, and every answer comes just before its deadline.
  * Operators would see latency stay at the deadline for as long as the overload lasts.
  */
-export interface StandingQueue {
+export interface StandingQueueDetector {
   /** Records how long a request of a class and caller had waited when its turn came. */
   recordTurn(flow: QueueFlow, waitMs: number, nowMs: number): void;
   /** Returns whether the queue of the class, or that of the caller within it, is standing. */
@@ -74,7 +74,7 @@
  * Creates detectors for each class and for each caller. In a queue that is fair between callers, the short waits of
  * a light caller would hide that the requests of a heavy caller keep waiting.
  */
-export function createStandingQueue(targets: StandingTargets): StandingQueue {
+export function createStandingQueueDetector(targets: StandingTargets): StandingQueueDetector {
   const classes: Readonly<Record<Priority, Detector>> = {
     interactive: createDetector(targets.interactive),
     batch: createDetector(targets.batch),
--- a/src/core/relay-node/create-serving-context.ts
+++ b/src/core/relay-node/create-serving-context.ts
@@ -21,7 +21,7 @@
 import type { KnownInstances } from './known-instances';
 import type { RelaySettings } from './settings';
 
-/** Options of {@link createServing}. */
+/** Options of {@link createServingContext}. */
 export interface ServingContextOptions {
   readonly clock: Clock;
   readonly random: RandomSource;
--- a/src/core/residency/index.ts
+++ b/src/core/residency/index.ts
@@ -9,7 +9,7 @@
  * Returns the allowed regions by looking up the caller and service again, so that a stricter configuration
  * also applies to requests that are already waiting.
  */
-export function allowedRegionsNow(
+export function currentlyAllowedRegions(
   configuration: CompiledConfiguration,
   callerId: string,
   serviceName: string,
--- a/src/core/retries/decide-retry.test.ts
+++ b/src/core/retries/decide-retry.test.ts
@@ -5,13 +5,13 @@
 import { REFUSALS } from '../refusals';
 import { decideRetry } from './decide-retry';
 import { createRetryBudget } from './retry-budget';
-import type { FailedTry, RetryDecision } from './types';
+import type { FailedAttempt, RetryDecision } from './types';
 
 const OPTIONS = resilienceSchema.parse({}).retries;
 const LOST = { kind: 'lostAfterSending', cause: 'reset' } as const;
 const NEVER_SENT = { kind: 'neverSent' } as const;
 
-const BASE: FailedTry = {
+const BASE: FailedAttempt = {
   tries: 1,
   triesThatMayHaveRun: 1,
   refusal: REFUSALS.serverFailed,
@@ -24,47 +24,51 @@
   deadlineAtMs: 60_000,
 };
 
-const decide = (change: Partial<FailedTry>, hasBudget = true): RetryDecision =>
+const decide = (change: Partial<FailedAttempt>, hasBudget = true): RetryDecision =>
   decideRetry({ ...BASE, ...change }, OPTIONS, createSeededRandom(1), () => hasBudget);
 
 describe('a failed attempt', () => {
   const refused = { kind: 'refusedByPeer', vouches: true } as const;
-  const giveUps: { when: string; change: Partial<FailedTry>; reason: string; budget?: boolean }[] =
-    [
-      { when: 'part of an answer was sent', change: { headSent: true }, reason: 'head sent' },
-      { when: 'the caller has disconnected', change: { callerGone: true }, reason: 'caller gone' },
-      { when: 'a peer forwarded it', change: { isForwarded: true }, reason: 'forwarded' },
-      { when: 'it is not repeatable', change: { isRepeatable: false }, reason: 'not repeatable' },
-      {
-        when: 'two attempts may have run',
-        change: { tries: 2, triesThatMayHaveRun: 2 },
-        reason: 'may have run twice',
-      },
-      { when: 'all attempts are used up', change: { tries: 3 }, reason: 'tries used up' },
-      {
-        when: 'the deadline is too near',
-        change: { deadlineAtMs: 1_005 },
-        reason: 'deadline too near',
-      },
-      { when: 'the budget is empty', change: {}, budget: false, reason: 'budget empty' },
-      {
-        when: 'this instance itself had no capacity',
-        change: { refusal: REFUSALS.overloaded, evidence: NEVER_SENT },
-        reason: 'refusal is final',
-      },
-      {
-        when: 'the data must not be sent to the peer',
-        change: { refusal: REFUSALS.regionNotAllowed, evidence: refused },
-        reason: 'refusal is final',
-      },
-    ];
+  const giveUps: {
+    when: string;
+    change: Partial<FailedAttempt>;
+    reason: string;
+    budget?: boolean;
+  }[] = [
+    { when: 'part of an answer was sent', change: { headSent: true }, reason: 'head sent' },
+    { when: 'the caller has disconnected', change: { callerGone: true }, reason: 'caller gone' },
+    { when: 'a peer forwarded it', change: { isForwarded: true }, reason: 'forwarded' },
+    { when: 'it is not repeatable', change: { isRepeatable: false }, reason: 'not repeatable' },
+    {
+      when: 'two attempts may have run',
+      change: { tries: 2, triesThatMayHaveRun: 2 },
+      reason: 'may have run twice',
+    },
+    { when: 'all attempts are used up', change: { tries: 3 }, reason: 'tries used up' },
+    {
+      when: 'the deadline is too near',
+      change: { deadlineAtMs: 1_005 },
+      reason: 'deadline too near',
+    },
+    { when: 'the budget is empty', change: {}, budget: false, reason: 'budget empty' },
+    {
+      when: 'this instance itself had no capacity',
+      change: { refusal: REFUSALS.overloaded, evidence: NEVER_SENT },
+      reason: 'refusal is final',
+    },
+    {
+      when: 'the data must not be sent to the peer',
+      change: { refusal: REFUSALS.regionNotAllowed, evidence: refused },
+      reason: 'refusal is final',
+    },
+  ];
   for (const { when, change, reason, budget } of giveUps) {
     it(`is not retried when ${when}`, () => {
       assert.deepEqual(decide(change, budget), { kind: 'giveUp', reason });
     });
   }
 
-  const atOnce: { when: string; change: Partial<FailedTry> }[] = [
+  const atOnce: { when: string; change: Partial<FailedAttempt> }[] = [
     { when: 'no connection was made', change: { evidence: NEVER_SENT } },
     {
       when: 'a peer was full',
--- a/src/core/retries/decide-retry.ts
+++ b/src/core/retries/decide-retry.ts
@@ -2,7 +2,7 @@
 import { judgeOutcome } from '../outcomes';
 import type { RandomSource } from '../random';
 import { REFUSALS } from '../refusals';
-import type { FailedTry, GiveUpReason, RetryDecision } from './types';
+import type { FailedAttempt, GiveUpReason, RetryDecision } from './types';
 
 /**
  * Retries requests that failed because one server, connection or peer was lost, by sending them to another
@@ -53,13 +53,13 @@
 /** Minimum time for an attempt, ms; with less it would only be cut off by the deadline. */
 const MIN_ATTEMPT_MS = 10;
 
-function mayOtherTargetSucceed({ refusal, evidence }: FailedTry): boolean {
+function mayOtherTargetSucceed({ refusal, evidence }: FailedAttempt): boolean {
   if (FINAL_REFUSALS.has(refusal.slug)) return false;
   // A request that this instance refused before sending would be refused again.
   return evidence.kind !== 'neverSent' || CONNECTION_FAILURES.has(refusal.slug);
 }
 
-function reasonToGiveUp(failed: FailedTry, options: RetryOptions): GiveUpReason | undefined {
+function reasonToGiveUp(failed: FailedAttempt, options: RetryOptions): GiveUpReason | undefined {
   if (failed.headSent) return 'head sent';
   if (failed.callerGone) return 'caller gone';
   if (failed.isForwarded) return 'forwarded';
@@ -77,7 +77,7 @@
 
 /** Decides whether and when to retry. `takeFromBudget` is called only if all other checks allow a retry. */
 export function decideRetry(
-  failed: FailedTry,
+  failed: FailedAttempt,
   options: RetryOptions,
   random: RandomSource,
   takeFromBudget: () => boolean,
--- a/src/core/retries/index.ts
+++ b/src/core/retries/index.ts
@@ -5,4 +5,4 @@
 export type { RepeatableInput } from './repeatable';
 export { createRetryBudget } from './retry-budget';
 export type { RetryBudget } from './retry-budget';
-export type { FailedTry, GiveUpReason, RetryDecision } from './types';
+export type { FailedAttempt, GiveUpReason, RetryDecision } from './types';
--- a/src/core/retries/types.ts
+++ b/src/core/retries/types.ts
@@ -2,7 +2,7 @@
 import type { RefusalDefinition } from '../refusals';
 
 /** A failed attempt and everything that the retry decision depends on. */
-export interface FailedTry {
+export interface FailedAttempt {
   /** Number of attempts so far, including this one. */
   readonly tries: number;
   /** Number of those attempts that may have run. */
--- a/src/core/routing/choose-server.test.ts
+++ b/src/core/routing/choose-server.test.ts
@@ -5,7 +5,7 @@
 import { engineWork } from '../work';
 import { chooseServer } from './choose-server';
 import type { ServerChoiceInput } from './choose-server';
-import { createLongPrompts } from './long-prompts';
+import { createLongPromptPartition } from './long-prompts';
 import { createPrefixIndex } from './prefix-index';
 import { createServerPool } from './server-pool';
 import type { ServerPool } from './server-pool';
@@ -35,7 +35,7 @@
     kind: 'engine',
     pool,
     prefixIndex: createPrefixIndex(),
-    longPrompts: createLongPrompts(),
+    longPrompts: createLongPromptPartition(),
     work: work(),
     ownFailureDomain: 'a',
     random: createSeededRandom(1),
@@ -60,7 +60,7 @@
 describe('choosing an engine', () => {
   it('prefers the one that holds the prefix', () => {
     const prefixIndex = createPrefixIndex();
-    prefixIndex.noteSent('server-5', [PREFIX], 0);
+    prefixIndex.recordSent('server-5', [PREFIX], 0);
     const choice = chooseServer(inputFor(createPool(20), { prefixIndex }));
     assert.equal(choice?.server.serverId, 'server-5');
     assert.equal(choice?.prefillTokens, 500);
@@ -71,7 +71,7 @@
   it('spreads a hot prefix once waiting for its holder costs more than computing it again', () => {
     const pool = createPool(20);
     const prefixIndex = createPrefixIndex();
-    prefixIndex.noteSent('server-5', [PREFIX], 0);
+    prefixIndex.recordSent('server-5', [PREFIX], 0);
     load(pool, 'server-5', 2);
     const choice = chooseServer(inputFor(pool, { prefixIndex }));
     assert.notEqual(choice?.server.serverId, 'server-5');
@@ -92,7 +92,7 @@
     const chosen = Array.from({ length: 60 }, (_unused, seed) => {
       const pool = createPool(60);
       pool.all().forEach((server) =>
-        server.noteReport({
+        server.recordReport({
           atMs: 900,
           runningRequests: server.serverId === 'server-7' ? 0 : 4,
           waitingRequests: 0,
@@ -118,11 +118,13 @@
   // times as long, so that a question that takes two seconds alone takes twenty.
   it('keeps long and short prompts in their partitions until they have waited', () => {
     const pool = createPool(10);
-    const longPrompts = createLongPrompts();
-    longPrompts.setServers(10);
+    const longPrompts = createLongPromptPartition();
+    longPrompts.setServerCount(10);
     const long = work(30_000, []);
     const short = work(200, []);
-    for (let index = 0; index < 600; index += 1) longPrompts.note(index % 40 === 0 ? long : short);
+    for (let index = 0; index < 600; index += 1) {
+      longPrompts.recordWork(index % 40 === 0 ? long : short);
+    }
     const parts = [short, long].map((one) =>
       Array.from({ length: 40 }, (_unused, seed) => {
         const random = createSeededRandom(seed);
@@ -162,22 +164,22 @@
   // the old event would send the next request elsewhere and compute the prefix once more.
   it('ignores an eviction that is older than the last send', () => {
     const index = createPrefixIndex();
-    index.noteSent('server-1', [PREFIX], 1_000);
-    index.noteEvent({ kind: 'evicted', serverId: 'server-1', key: PREFIX.key, atMs: 800 });
+    index.recordSent('server-1', [PREFIX], 1_000);
+    index.applyEvent({ kind: 'evicted', serverId: 'server-1', key: PREFIX.key, atMs: 800 });
     assert.equal(index.holders([PREFIX], 1_200).length, 1);
-    index.noteEvent({ kind: 'evicted', serverId: 'server-1', key: PREFIX.key, atMs: 1_100 });
+    index.applyEvent({ kind: 'evicted', serverId: 'server-1', key: PREFIX.key, atMs: 1_100 });
     assert.equal(index.holders([PREFIX], 1_200).length, 0);
   });
 
   it('forgets a crashed server, old holders and the least recently used prefixes', () => {
     const index = createPrefixIndex({ maxKeys: 2, holderTtlMs: 1_000 });
-    index.noteSent('server-1', [PREFIX], 0);
-    index.noteSent('server-2', [PREFIX], 500);
+    index.recordSent('server-1', [PREFIX], 0);
+    index.recordSent('server-2', [PREFIX], 500);
     assert.equal(index.holders([PREFIX], 1_200).length, 1);
-    index.forgetServer('server-2');
+    index.removeServer('server-2');
     assert.equal(index.holders([PREFIX], 600).length, 1);
-    index.noteSent('server-1', [{ key: 'x', tokens: 1 }], 600);
-    index.noteSent('server-1', [{ key: 'y', tokens: 1 }], 600);
+    index.recordSent('server-1', [{ key: 'x', tokens: 1 }], 600);
+    index.recordSent('server-1', [{ key: 'y', tokens: 1 }], 600);
     assert.equal(index.size(), 2);
     assert.equal(index.holders([PREFIX], 600).length, 0);
   });
--- a/src/core/routing/choose-server.ts
+++ b/src/core/routing/choose-server.ts
@@ -2,7 +2,7 @@
 import { pickIndex } from '../random';
 import type { WorkEstimate } from '../work';
 import type { DenseSet } from './dense-set';
-import type { LongPrompts } from './long-prompts';
+import type { LongPromptPartition } from './long-prompts';
 import type { PrefixIndex } from './prefix-index';
 import type { ServerPool } from './server-pool';
 import type { ServerState } from './server-state';
@@ -12,7 +12,7 @@
   readonly kind: 'engine' | 'plain';
   readonly pool: ServerPool;
   readonly prefixIndex: PrefixIndex;
-  readonly longPrompts: LongPrompts;
+  readonly longPrompts: LongPromptPartition;
   readonly work: WorkEstimate;
   readonly ownFailureDomain: string;
   readonly random: RandomSource;
@@ -175,7 +175,7 @@
     cachedTokens: number,
     reason: ServerChoice['reason'],
   ) => {
-    if (server === undefined || !server.limit.hasRoom() || !mayUse(server.serverId)) return;
+    if (server === undefined || !server.limit.hasCapacity() || !mayUse(server.serverId)) return;
     if (candidates.some((candidate) => candidate.server === server)) return;
     const prefillTokens = Math.max(0, work.promptTokens - cachedTokens);
     const isOwnPartition = longPrompts.matches(server.hashRank(), work);
@@ -196,7 +196,9 @@
   for (const server of sample(pool.availableIn(ownFailureDomain), input, SAMPLE_SIZE)) {
     tryAdd(server, 0, 'near-least-work');
   }
-  for (const server of sample(pool.roomy(), input, SAMPLE_SIZE)) tryAdd(server, 0, 'least-work');
+  for (const server of sample(pool.available(), input, SAMPLE_SIZE)) {
+    tryAdd(server, 0, 'least-work');
+  }
   return toChoice(candidates);
 }
 
@@ -223,7 +225,7 @@
     ({ server }) => server.utilisation(nowMs) < MAX_LOCAL_UTILISATION,
   );
   if (hasLocalCapacity) return toChoice(near);
-  const anywhere = sample(pool.roomy(), input, SAMPLE_SIZE).map(toCandidate('least-work'));
+  const anywhere = sample(pool.available(), input, SAMPLE_SIZE).map(toCandidate('least-work'));
   return toChoice([...near, ...anywhere]);
 }
 
@@ -241,7 +243,7 @@
   const candidates: Candidate[] = [];
   for (let index = 0; index < MAX_DRAWS && candidates.length < 2 * SAMPLE_SIZE; index += 1) {
     const server = servers[pickIndex(random, servers.length)];
-    if (server === undefined || !server.limit.hasSparseRoom()) continue;
+    if (server === undefined || !server.limit.hasSparseCapacity()) continue;
     if (!mayUse(server.serverId) || !longPrompts.matches(server.hashRank(), work)) continue;
     const cost = estimateCost(server, work, work.promptTokens, nowMs);
     candidates.push({ server, reason: 'sparse-caller', prefillTokens: work.promptTokens, cost });
--- a/src/core/routing/long-prompts.ts
+++ b/src/core/routing/long-prompts.ts
@@ -13,11 +13,11 @@
  * the engines' memory. Each instance computes the same partition, since servers are ordered by hash and the
  * share is about the same everywhere. Each partition takes work of the other at a higher cost.
  */
-export interface LongPrompts {
+export interface LongPromptPartition {
   /** Sets the number of servers and partitions them again. */
-  setServers(count: number): void;
+  setServerCount(count: number): void;
   /** Records the work of a request that was assigned to a server. */
-  note(work: WorkEstimate): void;
+  recordWork(work: WorkEstimate): void;
   isLong(work: WorkEstimate): boolean;
   /** Returns whether the server at this hash rank (from 0 to less than 1) belongs to the partition for this work. */
   matches(hashRank: number, work: WorkEstimate): boolean;
@@ -60,7 +60,7 @@
 const REPARTITION_THRESHOLD = 0.75;
 
 /** Creates a partitioning in which all engines take all prompts until enough requests were recorded. */
-export function createLongPrompts(): LongPrompts {
+export function createLongPromptPartition(): LongPromptPartition {
   let longUnits = 0;
   let allUnits = 0;
   let recordedRequests = 0;
@@ -84,12 +84,12 @@
 
   return {
     isLong,
-    setServers(count) {
+    setServerCount(count) {
       serverCount = count;
       longServerCount = 0;
       repartition();
     },
-    note(work) {
+    recordWork(work) {
       recordedRequests += 1;
       longUnits += NEW_REQUEST_WEIGHT * ((isLong(work) ? work.units : 0) - longUnits);
       allUnits += NEW_REQUEST_WEIGHT * (work.units - allUnits);
--- a/src/core/routing/prefix-index.ts
+++ b/src/core/routing/prefix-index.ts
@@ -8,11 +8,11 @@
    */
   holders(prefixes: readonly PrefixBlock[], nowMs: number): readonly PrefixHolder[];
   /** Records that a prompt was sent to the engine, which will then hold its prefixes. */
-  noteSent(serverId: string, prefixes: readonly PrefixBlock[], nowMs: number): void;
+  recordSent(serverId: string, prefixes: readonly PrefixBlock[], nowMs: number): void;
   /** Applies an event that the engine published: at `atMs` it stored or evicted the prefix. */
-  noteEvent(event: PrefixEvent): void;
+  applyEvent(event: PrefixEvent): void;
   /** Removes an engine that has lost its cache. */
-  forgetServer(serverId: string): void;
+  removeServer(serverId: string): void;
   size(): number;
 }
 
@@ -101,10 +101,10 @@
       }
       return found;
     },
-    noteSent(serverId, prefixes, nowMs) {
+    recordSent(serverId, prefixes, nowMs) {
       for (const { key } of prefixes) recordHolder(key, serverId, nowMs);
     },
-    noteEvent({ kind, serverId, key, atMs }) {
+    applyEvent({ kind, serverId, key, atMs }) {
       if (kind === 'stored') {
         recordHolder(key, serverId, atMs);
         return;
@@ -115,7 +115,7 @@
       holders.delete(serverId);
       if (holders.size === 0) holdersByKey.delete(key);
     },
-    forgetServer(serverId) {
+    removeServer(serverId) {
       for (const [key, holders] of holdersByKey) {
         if (holders.delete(serverId) && holders.size === 0) holdersByKey.delete(key);
       }
--- a/src/core/routing/server-pool.ts
+++ b/src/core/routing/server-pool.ts
@@ -12,7 +12,7 @@
   all(): readonly ServerState[];
   get(serverId: string): ServerState | undefined;
   /** Servers that have capacity for more work. */
-  roomy(): DenseSet<ServerState>;
+  available(): DenseSet<ServerState>;
   availableIn(failureDomain: string): DenseSet<ServerState>;
   ring(): HashRing<ServerState>;
   /** Updates the index after the load or limit of a server has changed. */
@@ -57,7 +57,7 @@
     const limitUnits = server.limit.limitUnits();
     limitSum += limitUnits - (countedLimits.get(server) ?? 0);
     countedLimits.set(server, limitUnits);
-    if (server.limit.hasRoom()) {
+    if (server.limit.hasCapacity()) {
       available.add(server);
       domainSet(server.failureDomain).add(server);
     } else {
@@ -69,7 +69,7 @@
   return {
     all: () => list,
     get: (serverId) => states.get(serverId),
-    roomy: () => available,
+    available: () => available,
     availableIn: domainSet,
     ring: () => ring,
     refresh,
--- a/src/core/routing/server-state.ts
+++ b/src/core/routing/server-state.ts
@@ -37,7 +37,7 @@
   firstByte(work: OpenWork): void;
   /** Removes work added by `begin`; the limit must be updated separately. */
   end(work: OpenWork): void;
-  noteReport(report: ServerReport): void;
+  recordReport(report: ServerReport): void;
   lastReport(): ServerReport | undefined;
 }
 
@@ -94,7 +94,7 @@
       endPrefill(work);
       open.delete(work);
     },
-    noteReport(received) {
+    recordReport(received) {
       if (report !== undefined && received.atMs < report.atMs) return;
       report = received;
       let ownAtReport = 0;
--- a/src/core/scheduling/create-service-scheduler.ts
+++ b/src/core/scheduling/create-service-scheduler.ts
@@ -9,12 +9,12 @@
 } from '../admission';
 import type { AdaptiveLimit } from '../admission';
 import type { Priority } from '../configuration';
-import { createFairQueue, createStandingQueue } from '../queueing';
+import { createFairQueue, createStandingQueueDetector } from '../queueing';
 import type { QueueEntry } from '../queueing';
 import {
   chooseServer,
   chooseSparseServer,
-  createLongPrompts,
+  createLongPromptPartition,
   createPrefixIndex,
   createServerPool,
 } from '../routing';
@@ -53,7 +53,7 @@
   };
   const pool = createServerPool(() => createAdaptiveLimit(limitOptions));
   const prefixIndex = createPrefixIndex();
-  const longPrompts = createLongPrompts();
+  const longPrompts = createLongPromptPartition();
   const outputEstimator = createOutputEstimator();
   const baseline = createLatencyBaseline();
   const serviceRate = createServiceRate();
@@ -62,7 +62,7 @@
     interactive: options.standingWaitMs,
     batch: Math.max(options.standingWaitMs, options.batchLongestWaitMs),
   };
-  const standingQueue = createStandingQueue(maxStandingWaits);
+  const standingQueue = createStandingQueueDetector(maxStandingWaits);
   const queue = createFairQueue<ScheduledRequest<Item>>(options);
   const entries = new Map<ScheduledRequest<Item>, QueueEntry<ScheduledRequest<Item>>>();
   const createServiceLimit = (servers: number): AdaptiveLimit =>
@@ -87,7 +87,7 @@
   });
 
   const choose = (request: ScheduledRequest<Item>, nowMs: number): ServerChoice | undefined =>
-    serviceLimit.hasRoom() ? chooseServer(choiceInput(request, nowMs)) : undefined;
+    serviceLimit.hasCapacity() ? chooseServer(choiceInput(request, nowMs)) : undefined;
 
   /** Chooses a server for interactive work of callers with sparse flows while requests of others wait. */
   const chooseForSparse = (
@@ -114,8 +114,8 @@
     server.limit.begin(work.units);
     serviceLimit.begin(work.units);
     pool.refresh(server);
-    longPrompts.note(work);
-    prefixIndex.noteSent(server.serverId, work.prefixes, nowMs);
+    longPrompts.recordWork(work);
+    prefixIndex.recordSent(server.serverId, work.prefixes, nowMs);
     return { request, choice, open, utilisation, waitedMs: nowMs - arrivedAtMs };
   };
 
@@ -178,7 +178,7 @@
   };
 
   const canSkip = (request: ScheduledRequest<Item>): boolean =>
-    serviceLimit.hasRoom() && pool.roomy().size() > 0 && entries.has(request);
+    serviceLimit.hasCapacity() && pool.available().size() > 0 && entries.has(request);
 
   return {
     estimate: (demand) => engineWork(demand, outputEstimator.estimate(demand.maxOutputTokens)),
@@ -232,7 +232,7 @@
         } else if (canSkip(request) && skipped.length < MAX_SKIPPED) {
           queue.remove(entry);
           skipped.push(entry);
-        } else if (blocked === undefined && serviceLimit.hasRoom()) blocked = entry.priority;
+        } else if (blocked === undefined && serviceLimit.hasCapacity()) blocked = entry.priority;
         else break;
       }
       skipped.forEach((entry) => queue.push(entry));
@@ -251,7 +251,7 @@
       entries.delete(request);
       queue.remove(entry);
     },
-    firstByte: ({ choice, open }) => choice.server.firstByte(open),
+    recordFirstByte: ({ choice, open }) => choice.server.firstByte(open),
     end(placement, result, nowMs) {
       const { choice, open, request } = placement;
       const { server } = choice;
@@ -264,23 +264,23 @@
       serviceLimit.end(request.work.units, end, nowMs);
       pool.refresh(server);
     },
-    noteOutput({ request }, outputTokens) {
+    recordOutput({ request }, outputTokens) {
       outputEstimator.learn(request.work.maxOutputTokens, outputTokens);
     },
-    noteReport(serverId, report, nowMs) {
+    recordReport(serverId, report, nowMs) {
       const server: ServerState | undefined = pool.get(serverId);
       if (server === undefined) return;
-      server.noteReport(report);
+      server.recordReport(report);
       const { waitingRequests, runningRequests } = report;
       if (waitingRequests <= MAX_SERVER_QUEUE_SHARE * runningRequests) return;
       server.limit.decreaseForServerQueue(report.atMs, nowMs);
       pool.refresh(server);
     },
-    noteCacheEvent: (event) => prefixIndex.noteEvent(event),
-    forgetCache: (serverId) => prefixIndex.forgetServer(serverId),
+    recordCacheEvent: (event) => prefixIndex.applyEvent(event),
+    removeCacheRecords: (serverId) => prefixIndex.removeServer(serverId),
     replaceServers(servers) {
       pool.replace(servers);
-      longPrompts.setServers(servers.length);
+      longPrompts.setServerCount(servers.length);
       if (serviceLimit.inFlightRequests() > 0) return;
       serviceLimit = createServiceLimit(servers.length);
     },
--- a/src/core/scheduling/types.ts
+++ b/src/core/scheduling/types.ts
@@ -93,15 +93,15 @@
   /** Removes a waiting request because its caller has disconnected. */
   remove(request: ScheduledRequest<Item>): void;
   /** Records that the answer has begun, so the server has processed the prompt. */
-  firstByte(placement: Placement<Item>): void;
+  recordFirstByte(placement: Placement<Item>): void;
   /** Frees the capacity of a placement and, if it was answered, learns from its latency. */
   end(placement: Placement<Item>, result: PlacementResult, nowMs: number): void;
   /** Records the size of the answer, where it is known. */
-  noteOutput(placement: Placement<Item>, outputTokens: number): void;
-  noteReport(serverId: string, report: ServerReport, nowMs: number): void;
-  noteCacheEvent(event: PrefixEvent): void;
+  recordOutput(placement: Placement<Item>, outputTokens: number): void;
+  recordReport(serverId: string, report: ServerReport, nowMs: number): void;
+  recordCacheEvent(event: PrefixEvent): void;
   /** Forgets the cache contents of a server that has crashed. */
-  forgetCache(serverId: string): void;
+  removeCacheRecords(serverId: string): void;
   replaceServers(servers: readonly PoolServer[]): void;
   /** Returns whether any server may receive the request at all, now or later. */
   canServe(request: ScheduledRequest<Item>): boolean;
--- a/src/core/server-health/create-server-health.ts
+++ b/src/core/server-health/create-server-health.ts
@@ -11,7 +11,7 @@
 import { createDutyRoster } from './duty-roster';
 import { SERVER_HEALTH_EVENTS } from './events';
 import { createStatementPublisher } from './statement-publisher';
-import { parseStatement, statementKey } from './marks';
+import { parseStatement, statementKey } from './server-statements';
 import type { ServerProbe } from './probe-server';
 import { createHealthTable } from './health-table';
 import type { CheckedServer, ListStatus, ServerObservation, HealthState } from './types';
@@ -48,7 +48,7 @@
 export interface ServerHealth extends ServerAvailability, AsyncDisposable {
   start(): void;
   /** Records what a request observed at a server; a failure starts a check at once. */
-  noteRequest(serverId: string, observation: ServerObservation): void;
+  recordRequest(serverId: string, observation: ServerObservation): void;
   recordListStatus(serverId: string, status: ListStatus): void;
   /** Returns the servers of this region. */
   servers(): readonly CheckedServer[];
@@ -212,7 +212,7 @@
       const share = shareOf(serverId);
       return share >= 1 || random.next() < share;
     },
-    noteRequest(serverId, observation) {
+    recordRequest(serverId, observation) {
       const server = table.server(serverId);
       if (server === undefined) return;
       switch (observation.kind) {
--- a/src/core/server-health/judge-health.test.ts
+++ b/src/core/server-health/evaluate-health.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { failuresNeeded, evaluateHealth } from './judge-health';
+import { failuresNeeded, evaluateHealth } from './evaluate-health';
 import type { PeerStatement, ServerEvidence, HealthState } from './types';
 
 const NOW_MS = 10_000;
--- a/src/core/server-health/health-table.ts
+++ b/src/core/server-health/health-table.ts
@@ -1,4 +1,4 @@
-import { evaluateOwnHealth } from './judge-health';
+import { evaluateOwnHealth } from './evaluate-health';
 import {
   createRecord,
   needsAttention,
--- a/src/core/server-health/probe-server.ts
+++ b/src/core/server-health/probe-server.ts
@@ -1,6 +1,6 @@
 import { Agent } from 'undici';
 import { errorText } from '../errors';
-import { classifyHealthAnswer } from './classify-answer';
+import { classifyHealthAnswer } from './classify-health-answer';
 import type { CheckedServer, ServerObservation } from './types';
 
 /** Runs one health check of a server. The promise never rejects. */
--- a/src/core/server-health/server-record.ts
+++ b/src/core/server-health/server-record.ts
@@ -1,4 +1,4 @@
-import { failuresNeeded, evaluateHealth } from './judge-health';
+import { failuresNeeded, evaluateHealth } from './evaluate-health';
 import type {
   CheckedServer,
   ListStatus,
--- a/src/core/server-health/statement-publisher.ts
+++ b/src/core/server-health/statement-publisher.ts
@@ -3,7 +3,11 @@
 import type { Gossip } from '../gossip';
 import { mayReportDown } from './choose-usable';
 import { SERVER_HEALTH_EVENTS } from './events';
-import { STATEMENT_RENEWAL_INTERVAL_MS, statementKey, toGossipStatement } from './marks';
+import {
+  STATEMENT_RENEWAL_INTERVAL_MS,
+  statementKey,
+  toGossipStatement,
+} from './server-statements';
 import type { HealthTable } from './health-table';
 import type { CheckedServer, ServerObservation, HealthState } from './types';
 
--- a/src/core/serving/check-request.ts
+++ b/src/core/serving/check-request.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '../clock';
 import type { ConfigurationStore } from '../configuration';
 import { REFUSALS, RefusalError } from '../refusals';
-import { allowedRegionsNow } from '../residency';
+import { currentlyAllowedRegions } from '../residency';
 import { isNonRepeatable } from '../tickets';
 import type { GatewayRequest } from './types';
 
@@ -28,7 +28,7 @@
 /** The regions in which the data may be now; throws where this region, or the one asked about, is not among them. */
 export function checkRegion(checks: RequestChecks, request: GatewayRequest): readonly string[] {
   const current = currentConfiguration(checks, request);
-  const regions = allowedRegionsNow(current, request.caller.id, request.service.name);
+  const regions = currentlyAllowedRegions(current, request.caller.id, request.service.name);
   if (regions.includes(checks.region)) return regions;
   throw new RefusalError(REFUSALS.regionNotAllowed, {
     detail: `Allowed are: ${regions.join(', ') || 'none'}.`,
--- a/src/core/serving/explain-route.ts
+++ b/src/core/serving/explain-route.ts
@@ -1,5 +1,5 @@
 import type { HomeOutlook } from '../spillover';
-import { allowedRegionsNow } from '../residency';
+import { currentlyAllowedRegions } from '../residency';
 import type { ServingDependencies } from './dependencies';
 import type { GatewayRequest } from './types';
 
@@ -72,7 +72,7 @@
     return undefined;
   }
 
-  const allowedRegions = allowedRegionsNow(configuration, caller.id, service.name);
+  const allowedRegions = currentlyAllowedRegions(configuration, caller.id, service.name);
   const allServers = configuration.serversOf(service.name);
   const isAllowedHere = allowedRegions.includes(region);
   const request: GatewayRequest = {
--- a/src/core/serving/observe-sender.ts
+++ b/src/core/serving/observe-sender.ts
@@ -31,7 +31,7 @@
     async send(target, request, sink) {
       const { serverId } = target;
       const observed = watchHead(sink, (head) =>
-        health.noteRequest(
+        health.recordRequest(
           serverId,
           saysDraining(head)
             ? { kind: 'draining', incarnation: undefined }
@@ -42,7 +42,7 @@
         await sender.send(target, request, observed);
       } catch (error) {
         const isServers = error instanceof RefusalError && !target.signal.aborted;
-        if (isServers) health.noteRequest(serverId, { kind: 'failed', reason: error.message });
+        if (isServers) health.recordRequest(serverId, { kind: 'failed', reason: error.message });
         throw error;
       }
     },
--- a/src/core/serving/observe-sends.ts
+++ b/src/core/serving/observe-sends.ts
@@ -1,10 +1,10 @@
 import type { ServerSender } from '../backends';
 import type { Clock } from '../clock';
 import type { ConfigurationStore } from '../configuration';
-import type { ObservedTry, OutlierTracker } from '../outliers';
+import type { ObservedAttempt, OutlierTracker } from '../outliers';
 import type { PoisonGuard } from '../poison';
 import { REFUSALS, RefusalError } from '../refusals';
-import { allowedRegionsNow } from '../residency';
+import { currentlyAllowedRegions } from '../residency';
 import type { GatewayRequest, ResponseHead, ResponseSink } from './types';
 
 /** What learns from each send. */
@@ -22,7 +22,7 @@
 
 function regionsOf(configuration: ConfigurationStore, request: GatewayRequest): readonly string[] {
   const current = configuration.current() ?? request.configuration;
-  return allowedRegionsNow(current, request.caller.id, request.service.name);
+  return currentlyAllowedRegions(current, request.caller.id, request.service.name);
 }
 
 function isServerError({ status }: ResponseHead, { service }: GatewayRequest): boolean {
@@ -33,7 +33,7 @@
 /** Passes everything on to `sink` and tells the observed try of it. */
 function observeSink(
   sink: ResponseSink,
-  observed: ObservedTry,
+  observed: ObservedAttempt,
   request: GatewayRequest,
   clock: Clock,
 ): ResponseSink {
--- a/src/core/serving/run-attempts.ts
+++ b/src/core/serving/run-attempts.ts
@@ -4,7 +4,7 @@
 import type { Evidence } from '../outcomes';
 import { REFUSALS, RefusalError } from '../refusals';
 import { RETRY_EVENTS, decideRetry, isRepeatable } from '../retries';
-import type { FailedTry, RetryBudget, RetryDecision } from '../retries';
+import type { FailedAttempt, RetryBudget, RetryDecision } from '../retries';
 import type { ServingDependencies } from './dependencies';
 import type { AttemptRunner } from './run-attempt';
 import type { GatewayRequest, ResponseSink } from './types';
@@ -71,7 +71,7 @@
 function decide(
   dependencies: AttemptsDependencies,
   request: GatewayRequest,
-  counts: Pick<FailedTry, 'tries' | 'triesThatMayHaveRun'>,
+  counts: Pick<FailedAttempt, 'tries' | 'triesThatMayHaveRun'>,
   refusal: RefusalError,
   sink: ResponseSink,
   signal: AbortSignal,
--- a/src/core/serving/spill-route.ts
+++ b/src/core/serving/spill-route.ts
@@ -1,7 +1,7 @@
 import type { MayUse } from '../load-control';
 import { chooseRoute } from '../routing';
 import type { PeerCandidate, RoutingDecision } from '../routing';
-import { SPILLOVER_EVENTS, mayTakeForeign } from '../spillover';
+import { SPILLOVER_EVENTS, mayAcceptForwarded } from '../spillover';
 import type { ForwardResult, RemoteRegion, SpilloverDecision } from '../spillover';
 import { REFUSALS, RefusalError } from '../refusals';
 import type { ServingDependencies } from './dependencies';
@@ -80,7 +80,7 @@
   const { clock, logger, loadControl, region } = dependencies;
   const { spillover } = request.configuration.document.resilience;
   const outlook = loadControl.outlook(request, mayUse);
-  if (mayTakeForeign(outlook, spillover)) return;
+  if (mayAcceptForwarded(outlook, spillover)) return;
   logger.event(SPILLOVER_EVENTS.foreignRefused, {
     requestId: request.requestId,
     service: request.service.name,
--- a/src/core/spillover/accept-forwarded.ts
+++ b/src/core/spillover/accept-forwarded.ts
@@ -10,7 +10,7 @@
  * burst of the region's own requests. Otherwise they are refused at once as not run, so that they can still be
  * served at home or elsewhere.
  */
-export function mayTakeForeign(
+export function mayAcceptForwarded(
   { canServe, wouldRefuse, expectedWaitMs, utilisation }: HomeOutlook,
   options: SpilloverOptions,
 ): boolean {
--- a/src/core/spillover/create-spillover.test.ts
+++ b/src/core/spillover/create-spillover.test.ts
@@ -4,8 +4,8 @@
 import type { Weights } from '../configuration';
 import { createSeededRandom } from '../random';
 import { createSpillover } from './create-spillover';
-import { mayTakeForeign } from './accept-forwarded';
-import { willingness } from './spill-share';
+import { mayAcceptForwarded } from './accept-forwarded';
+import { spillableShareOfExcess } from './spill-share';
 import type { HomeOutlook, RemoteRegion, SpilloverDecision } from './types';
 
 const OPTIONS = resilienceSchema.parse({}).spillover;
@@ -117,7 +117,7 @@
     const hooghly = region(HOOGHLY).run(120, excess);
     assert.ok(hooghly > 0);
     assert.ok(hooghly <= omaruru / 2, `${hooghly} of ${omaruru}`);
-    assert.equal(willingness(OMARURU), 1);
+    assert.equal(spillableShareOfExcess(OMARURU), 1);
   });
 
   it('keeps requests at home that may not go to any other region', () => {
@@ -178,7 +178,7 @@
       { home: { ...NORMAL, utilisation: 0.1, canServe: false }, expected: false },
     ];
     for (const { home, expected } of cases) {
-      assert.equal(mayTakeForeign(home, OPTIONS), expected, JSON.stringify(home));
+      assert.equal(mayAcceptForwarded(home, OPTIONS), expected, JSON.stringify(home));
     }
   });
 });
--- a/src/core/spillover/create-spillover.ts
+++ b/src/core/spillover/create-spillover.ts
@@ -40,7 +40,7 @@
 }
 
 /** Dependencies of `createSpillover`. */
-export interface SpilloverNeeds {
+export interface SpilloverDependencies {
   readonly options: () => SpilloverOptions;
   readonly weights: () => Weights;
   readonly random: RandomSource;
@@ -57,7 +57,7 @@
 }
 
 /** Creates the spillover logic of one instance, without any recorded requests. */
-export function createSpillover({ options, weights, random }: SpilloverNeeds): Spillover {
+export function createSpillover({ options, weights, random }: SpilloverDependencies): Spillover {
   const shares = new Map<string, SpillShare>();
   const windows = new Map<string, ForwardWindow>();
 
--- a/src/core/spillover/index.ts
+++ b/src/core/spillover/index.ts
@@ -1,9 +1,9 @@
 /** Decides which requests leave their home region, and which forwarded requests are accepted here. */
 export { createSpillover } from './create-spillover';
-export type { Spillover, SpilloverNeeds } from './create-spillover';
+export type { Spillover, SpilloverDependencies } from './create-spillover';
 export { SPILLOVER_EVENTS } from './events';
-export { mayTakeForeign } from './accept-forwarded';
-export { willingness } from './spill-share';
+export { mayAcceptForwarded } from './accept-forwarded';
+export { spillableShareOfExcess } from './spill-share';
 export type {
   ForwardResult,
   HomeOutlook,
--- a/src/core/spillover/spill-share.ts
+++ b/src/core/spillover/spill-share.ts
@@ -50,7 +50,7 @@
 }
 
 /** Returns the share of the excess that is spilled, 0 to 1. */
-export function willingness(weights: Weights): number {
+export function spillableShareOfExcess(weights: Weights): number {
   const remoteServingCost = remoteCost(weights);
   return remoteServingCost === 0 ? 1 : Math.min(1, weights.tailLatency / remoteServingCost);
 }
@@ -80,7 +80,7 @@
   const targetShare = (): number => {
     if (keptExcessShare < FALL_THRESHOLD) return 0;
     const excess = measuredSpilledShare + (1 - measuredSpilledShare) * keptExcessShare;
-    const wanted = willingness(weights()) * excess;
+    const wanted = spillableShareOfExcess(weights()) * excess;
     return keptExcessShare > RISE_THRESHOLD ? wanted : share;
   };
 
